--- /dev/null
+++ b/core/catalog/forms_test.go
@@ -0,0 +1,85 @@
+// Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
+
+package catalog
+
+import (
+	"flag"
+	"os"
+	"reflect"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/yardhall/yardhall/core/config"
+	"github.com/yardhall/yardhall/core/formtest"
+	"github.com/yardhall/yardhall/core/pack"
+)
+
+// addForms adds records that the golden file lacks; it never replaces one.
+var addForms = flag.Bool("add-forms", false, "add the forms of new records to the golden file")
+
+const storedGolden = "testdata/stored.golden"
+
+// writeForm is the log record of a command, or of an edit with a change.
+func writeForm(name string, command Command, change config.Change) formtest.Form {
+	choose := func(t reflect.Type) any {
+		if t == reflect.TypeFor[config.Change]() {
+			return change
+		}
+		return command
+	}
+	w := formtest.Filled(reflect.TypeFor[Write](), choose).Interface().(Write)
+	return formtest.Form{
+		Name: name, Want: w,
+		Encode: func() ([]byte, error) { return w.Encode(), nil },
+		Decode: func(record []byte) (any, error) { return DecodeWrite(record) },
+	}
+}
+
+// snapshotForm is a snapshot in which every field holds something. It is compared as the
+// catalog writes it again.
+func snapshotForm(t *testing.T) formtest.Form {
+	t.Helper()
+	choose := func(reflect.Type) any { return config.PutAccount{} }
+	d := formtest.Filled(reflect.TypeFor[Document](), choose).Interface().(Document)
+	d.Format = documentFormat
+	return formtest.Form{
+		Name: "snapshot", Want: d,
+		Encode: func() ([]byte, error) {
+			b, err := modes.enc.Marshal(d)
+			return pack.Bytes(b), err
+		},
+		Decode: func(record []byte) (any, error) {
+			c, err := Decode(record)
+			require.NoError(t, err)
+			again, err := pack.Unpack(c.Encode())
+			require.NoError(t, err)
+			var got Document
+			err = modes.dec.Unmarshal(again, &got)
+			for i := range got.Deltas {
+				got.Deltas[i].Change = byValue(got.Deltas[i].Change)
+			}
+			return got, err
+		},
+	}
+}
+
+// TestRecordsOfEarlierProgramsAreRead decodes log records and a snapshot as the program
+// wrote them that first stored such records.
+func TestRecordsOfEarlierProgramsAreRead(t *testing.T) {
+	text, err := os.ReadFile(storedGolden)
+	require.True(t, err == nil || *addForms, "%v", err)
+	forms := []formtest.Form{snapshotForm(t)}
+	for _, command := range commandTypes() {
+		if _, ok := command.(Edit); !ok {
+			forms = append(forms, writeForm("write-"+reflect.TypeOf(command).Name(), command.(Command), nil))
+		}
+	}
+	for _, change := range config.Types() {
+		forms = append(forms, writeForm("edit-"+reflect.TypeOf(change).Name(), Edit{}, change.(config.Change)))
+	}
+	all := formtest.Check(t, string(text), *addForms, forms)
+	if *addForms {
+		require.NoError(t, os.WriteFile(storedGolden, []byte(all), 0o600))
+	}
+}
--- /dev/null
+++ b/core/config/forms_test.go
@@ -0,0 +1,44 @@
+// Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
+
+package config_test
+
+import (
+	"flag"
+	"os"
+	"reflect"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/yardhall/yardhall/core/config"
+	"github.com/yardhall/yardhall/core/formtest"
+)
+
+// addForms adds records that the golden file lacks; it never replaces one.
+var addForms = flag.Bool("add-forms", false, "add the forms of new records to the golden file")
+
+const packedGolden = "testdata/packed.golden"
+
+// TestPackedTablesOfEarlierProgramsAreRead decodes a route table and a delta as the
+// program packed them that first sent them.
+func TestPackedTablesOfEarlierProgramsAreRead(t *testing.T) {
+	text, err := os.ReadFile(packedGolden)
+	require.True(t, err == nil || *addForms, "%v", err)
+	table := formtest.Filled(reflect.TypeFor[config.Gateway](), nil).Interface().(config.Gateway)
+	delta := formtest.Filled(reflect.TypeFor[config.GatewayDelta](), nil).Interface().(config.GatewayDelta)
+	all := formtest.Check(t, string(text), *addForms, []formtest.Form{
+		{
+			Name: "table", Want: table.WithoutSource(),
+			Encode: func() ([]byte, error) { return table.Packed(), nil },
+			Decode: func(record []byte) (any, error) { return config.UnpackGateway(record) },
+		},
+		{
+			Name: "delta", Want: delta,
+			Encode: func() ([]byte, error) { return delta.Packed(), nil },
+			Decode: func(record []byte) (any, error) { return config.UnpackGatewayDelta(record) },
+		},
+	})
+	if *addForms {
+		require.NoError(t, os.WriteFile(packedGolden, []byte(all), 0o600))
+	}
+}
--- a/core/loads/loads_test.go
+++ b/core/loads/loads_test.go
@@ -51,3 +51,12 @@
 	}
 	require.LessOrEqual(t, len(loads.Pack(c)), 910*4)
 }
+
+// TestDigestsOfEarlierProgramsAreRead decodes a digest as the program wrote it that first
+// sent digests.
+func TestDigestsOfEarlierProgramsAreRead(t *testing.T) {
+	record := []byte{0x00, 0x00, 0x07, 0x05, 0x01, 0x02, 0x03, 0xac, 0x02}
+	counts := loads.Counts{0x000007: 5, 0x010203: 300}
+	require.Equal(t, counts, loads.Digest(record).Counts())
+	require.Equal(t, loads.Digest(record), loads.Pack(counts))
+}
--- /dev/null
+++ b/peers/forms_test.go
@@ -0,0 +1,71 @@
+// Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
+
+package peers
+
+import (
+	"bytes"
+	"encoding/gob"
+	"flag"
+	"os"
+	"reflect"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/yardhall/yardhall/core/formtest"
+	"github.com/yardhall/yardhall/core/host"
+)
+
+// addForms adds records of types that the golden file lacks; it never replaces one.
+var addForms = flag.Bool("add-forms", false, "add the forms of new types to the golden file")
+
+const wireGolden = "testdata/wire.golden"
+
+// carrier carries a value as messages carry what they hold: behind an interface.
+type carrier struct{ Value any }
+
+// chosenFor returns the first wire type that fits an interface.
+func chosenFor(t reflect.Type) any {
+	for _, w := range host.WireTypes() {
+		if reflect.TypeOf(w.Value).Implements(t) {
+			return w.Value
+		}
+	}
+	return nil
+}
+
+func filled(v any) any { return formtest.Filled(reflect.TypeOf(v), chosenFor).Interface() }
+
+func gobForm(name string, want any) formtest.Form {
+	return formtest.Form{
+		Name: name, Want: want,
+		Encode: func() ([]byte, error) {
+			var b bytes.Buffer
+			err := gob.NewEncoder(&b).Encode(want)
+			return b.Bytes(), err
+		},
+		Decode: func(record []byte) (any, error) {
+			got := reflect.New(reflect.TypeOf(want))
+			err := gob.NewDecoder(bytes.NewReader(record)).DecodeValue(got)
+			return got.Elem().Interface(), err
+		},
+	}
+}
+
+// TestMessagesOfEarlierProgramsAreRead decodes what the program wrote that first sent a
+// message.
+func TestMessagesOfEarlierProgramsAreRead(t *testing.T) {
+	registerOnce.Do(registerTypes)
+	text, err := os.ReadFile(wireGolden)
+	require.True(t, err == nil || *addForms, "%v", err)
+	types := host.WireTypes()
+	forms := make([]formtest.Form, 0, len(types))
+	for _, w := range types {
+		forms = append(forms, gobForm("type-"+w.Name, carrier{Value: filled(w.Value)}))
+	}
+	forms = append(forms, gobForm("hello", filled(Hello{})), gobForm("batch", filled(Batch{})), gobForm("ack", filled(Ack{})))
+	all := formtest.Check(t, string(text), *addForms, forms)
+	if *addForms {
+		require.NoError(t, os.WriteFile(wireGolden, []byte(all), 0o600))
+	}
+}
