--- a/Makefile
+++ b/Makefile
@@ -39,7 +39,8 @@
 
 # Faults drawn from seeds against real processes: SEEDS seeds from FIRST on,
 # AT_ONCE at a time, each with faults for FAULTS; SHAPE adds flags such as
-# "-entries 20". Logs of seeds that fail are kept in LOGS.
+# "-entries 20"; EARLIER is the path of an earlier yardhalld, which about half of all
+# starts run. Logs of seeds that fail are kept in LOGS.
 SEEDS ?= 4
 FIRST ?= 1
 AT_ONCE ?= 4
@@ -47,7 +48,7 @@
 LOGS ?= $(CURDIR)/bin/soak-logs
 soak: build
 	$(GO) test -tags soak -count=1 -v -timeout 60m -parallel $(AT_ONCE) ./soak -yardhalld $(CURDIR)/bin/yardhalld \
-	  -first $(FIRST) -seeds $(SEEDS) -faults $(FAULTS) -logs $(LOGS) $(SHAPE)
+	  $(if $(EARLIER),-earlier $(EARLIER)) -first $(FIRST) -seeds $(SEEDS) -faults $(FAULTS) -logs $(LOGS) $(SHAPE)
 
 # Measures the slopes of docs/CAPACITY.md and writes them into it.
 capacity:
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -6,6 +6,7 @@
 
 import (
 	"fmt"
+	"math/rand/v2"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -165,7 +166,7 @@
 	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	require.NoError(f.t, err)
 	defer func() { _ = out.Close() }()
-	cmd := exec.Command(*binary, "serve", "--settings", p.settings)
+	cmd := exec.Command(f.program(n, p.life), "serve", "--settings", p.settings)
 	cmd.Stdout, cmd.Stderr = out, out
 	require.NoError(f.t, cmd.Start())
 	p.cmd, p.ended = cmd, make(chan struct{})
@@ -179,6 +180,20 @@
 	}(p.ended)
 }
 
+// program is the daemon that a start of a host runs. With -earlier it is drawn from the
+// seed, the host and the number of the start, so that the fleet is mixed and disks go
+// from one program to the other and back.
+func (f *fleet) program(n node, life int) string {
+	if *earlier == "" {
+		return *binary
+	}
+	draw := rand.New(rand.NewPCG(f.seed, uint64(n)<<32|uint64(life)))
+	if draw.IntN(2) == 0 {
+		return *earlier
+	}
+	return *binary
+}
+
 // signal sends a signal to a host that runs, and tells whether it did.
 func (f *fleet) signal(n node, s syscall.Signal) bool {
 	p := f.hosts[n]
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -18,6 +18,7 @@
 
 var (
 	binary   = flag.String("yardhalld", "", "path of the daemon")
+	earlier  = flag.String("earlier", "", "path of an earlier daemon, which about half of all starts run")
 	first    = flag.Uint64("first", 1, "first seed")
 	seeds    = flag.Uint64("seeds", 1, "number of seeds")
 	duration = flag.Duration("faults", 20*time.Second, "time of faults for each seed")
