--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -138,7 +138,8 @@
 		return c, Result{Code: OK, Version: c.Config.Version}
 	}
 	c = c.withConfig(cfg, cmd.Change)
-	c = c.audit(actor, fmt.Sprintf("%T", cmd.Change)[len("config."):], config.ObjectOf(cmd.Change), "")
+	subject := config.SubjectOf(cmd.Change)
+	c = c.audit(actor, subject.Action, subject.Object(), "")
 	return c, Result{Code: OK, Version: cfg.Version}
 }
 
--- a/core/catalog/forms_test.go
+++ b/core/catalog/forms_test.go
@@ -4,6 +4,7 @@
 
 import (
 	"flag"
+	"fmt"
 	"os"
 	"reflect"
 	"testing"
@@ -70,13 +71,13 @@
 	text, err := os.ReadFile(storedGolden)
 	require.True(t, err == nil || *addForms, "%v", err)
 	forms := []formtest.Form{snapshotForm(t)}
-	for _, command := range commandTypes() {
+	for i, command := range commandTypes() {
 		if _, ok := command.(Edit); !ok {
-			forms = append(forms, writeForm("write-"+reflect.TypeOf(command).Name(), command.(Command), nil))
+			forms = append(forms, writeForm(fmt.Sprintf("write-%02d", i), command.(Command), nil))
 		}
 	}
-	for _, change := range config.Types() {
-		forms = append(forms, writeForm("edit-"+reflect.TypeOf(change).Name(), Edit{}, change.(config.Change)))
+	for i, change := range config.Types() {
+		forms = append(forms, writeForm(fmt.Sprintf("edit-%02d", i), Edit{}, change.(config.Change)))
 	}
 	all := formtest.Check(t, string(text), *addForms, forms)
 	if *addForms {
