--- a/commands/yardhall/routes.go
+++ b/commands/yardhall/routes.go
@@ -17,7 +17,7 @@
 // tableReader gathers the sections of an INI file that make up the route table.
 // The zero value is ready.
 type tableReader struct {
-	table   config.Gateway
+	table   config.RouteTable
 	section string
 	parts   int
 }
@@ -103,8 +103,8 @@
 	return r
 }
 
-func (s *section) holder() config.Holder {
-	return config.Holder{
+func (s *section) holder() config.KeyOwner {
+	return config.KeyOwner{
 		Account: ident.Account(s.id), KeyHashes: s.list("key_hashes"), Rank: s.whole("rank"), Ranked: s.s.HasKey("rank"),
 	}
 }
--- a/commands/yardhall/routes_test.go
+++ b/commands/yardhall/routes_test.go
@@ -40,14 +40,14 @@
 	require.NoError(t, err)
 	require.Len(t, writes, 1)
 	require.Equal(t, "/v1/gateway/table", writes[0].path)
-	require.Equal(t, config.Gateway{
+	require.Equal(t, config.RouteTable{
 		Number: 12, Limits: config.Limits{MaxBodyBytes: 4096, IdleTimeout: config.Duration(15 * time.Second)},
 		Pools: []config.Pool{{ID: "text", Engine: true}, {ID: "plain"}},
 		Routes: []config.Route{{
 			Host: "chats.example", Prefix: "/v1/chat/", Kind: config.RouteStream, Timeout: config.Duration(30 * time.Second),
 			Shares: []config.Share{{Pool: "text", Weight: 90}, {Pool: "plain", Weight: 10}}, Resumable: true,
 		}},
-		Keys: []config.Holder{{Account: "halls", KeyHashes: []string{"aa", "bb"}, Ranked: true}},
+		Keys: []config.KeyOwner{{Account: "halls", KeyHashes: []string{"aa", "bb"}, Ranked: true}},
 	}, writes[0].body)
 }
 
--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -125,7 +125,7 @@
 			}
 		}
 	}
-	if patch, ok := cmd.Change.(config.PatchGateway); ok && patch.Patch.Delta.From != c.Config.Gateway.Number {
+	if patch, ok := cmd.Change.(config.PatchRouteTable); ok && patch.Patch.Delta.From != c.Config.Gateway.Number {
 		return c, Result{Code: BaseMoved, Reason: "another route table came into force meanwhile", Version: c.Config.Version}
 	}
 	cfg, err := c.Config.With(cmd.Change)
@@ -146,7 +146,7 @@
 // whole tells whether a change replaces the whole route table.
 func whole(ch config.Change) bool {
 	switch ch.(type) {
-	case config.PutGateway, config.PatchGateway:
+	case config.PutRouteTable, config.PatchRouteTable:
 		return true
 	}
 	return false
--- a/core/catalog/catalog_test.go
+++ b/core/catalog/catalog_test.go
@@ -251,8 +251,8 @@
 	size := 0
 	for number := range uint64(200) {
 		var r catalog.Result
-		c, r = c.Apply(catalog.Write{ID: fmt.Sprint(number), Command: catalog.Edit{Change: config.PutGateway{
-			Gateway: config.Gateway{Number: number + 1, Source: source},
+		c, r = c.Apply(catalog.Write{ID: fmt.Sprint(number), Command: catalog.Edit{Change: config.PutRouteTable{
+			Gateway: config.RouteTable{Number: number + 1, Source: source},
 		}}})
 		require.Equal(t, catalog.OK, r.Code)
 		if number == 0 {
@@ -268,19 +268,19 @@
 // TestPatchThatLostARaceIsNotRemembered sends a remembered write as a patch of a
 // table that is no longer in force, and then whole: the second one counts.
 func TestPatchThatLostARaceIsNotRemembered(t *testing.T) {
-	table := func(number uint64) config.Gateway {
-		return config.Gateway{Number: number, Pools: []config.Pool{{ID: "p"}}}
+	table := func(number uint64) config.RouteTable {
+		return config.RouteTable{Number: number, Pools: []config.Pool{{ID: "p"}}}
 	}
 	write := func(id string, change config.Change) catalog.Write {
 		return catalog.Write{ID: id, Remember: true, Command: catalog.Edit{Change: change}}
 	}
-	c, _ := catalog.Catalog{}.Apply(write("one", config.PutGateway{Gateway: table(1)}))
-	patch := config.PatchGateway{Patch: table(1).PatchTo(table(3))}
-	c, _ = c.Apply(write("two", config.PutGateway{Gateway: table(2)}))
+	c, _ := catalog.Catalog{}.Apply(write("one", config.PutRouteTable{Gateway: table(1)}))
+	patch := config.PatchRouteTable{Patch: table(1).PatchTo(table(3))}
+	c, _ = c.Apply(write("two", config.PutRouteTable{Gateway: table(2)}))
 	c, r := c.Apply(write("three", patch))
 	require.Equal(t, catalog.BaseMoved, r.Code)
 	require.EqualValues(t, 2, c.Config.Gateway.Number)
-	c, r = c.Apply(write("three", config.PutGateway{Gateway: table(3)}))
+	c, r = c.Apply(write("three", config.PutRouteTable{Gateway: table(3)}))
 	require.Equal(t, catalog.OK, r.Code)
 	require.EqualValues(t, 3, c.Config.Gateway.Number)
 }
--- a/core/config/change.go
+++ b/core/config/change.go
@@ -50,31 +50,31 @@
 		Target ident.Target
 		Models []ident.Model
 	}
-	// PutGateway replaces the whole route table.
-	PutGateway struct{ Gateway Gateway }
-	// PatchGateway replaces the whole route table too, told by what differs from
+	// PutRouteTable replaces the whole route table.
+	PutRouteTable struct{ Gateway RouteTable }
+	// PatchRouteTable replaces the whole route table too, told by what differs from
 	// the one in force.
-	PatchGateway struct{ Patch GatewayPatch }
+	PatchRouteTable struct{ Patch RouteTablePatch }
 )
 
-func (PutAccount) change()    {}
-func (DeleteAccount) change() {}
-func (PutClass) change()      {}
-func (DeleteClass) change()   {}
-func (PutService) change()    {}
-func (DeleteService) change() {}
-func (PutModel) change()      {}
-func (DeleteModel) change()   {}
-func (PutTarget) change()     {}
-func (DeleteTarget) change()  {}
-func (PutHost) change()       {}
-func (DeleteHost) change()    {}
-func (PutIntent) change()     {}
-func (DeleteIntent) change()  {}
-func (PutHandOver) change()   {}
-func (SetModels) change()     {}
-func (PutGateway) change()    {}
-func (PatchGateway) change()  {}
+func (PutAccount) change()      {}
+func (DeleteAccount) change()   {}
+func (PutClass) change()        {}
+func (DeleteClass) change()     {}
+func (PutService) change()      {}
+func (DeleteService) change()   {}
+func (PutModel) change()        {}
+func (DeleteModel) change()     {}
+func (PutTarget) change()       {}
+func (DeleteTarget) change()    {}
+func (PutHost) change()         {}
+func (DeleteHost) change()      {}
+func (PutIntent) change()       {}
+func (DeleteIntent) change()    {}
+func (PutHandOver) change()     {}
+func (SetModels) change()       {}
+func (PutRouteTable) change()   {}
+func (PatchRouteTable) change() {}
 
 // Tags of changes on the wire and on disk; never renumber. Private use from
 // the CBOR tag registry's unassigned range (RFC 8949, 9.2).
@@ -99,8 +99,8 @@
 		DeleteIntent{},
 		PutHandOver{},
 		SetModels{},
-		PutGateway{},
-		PatchGateway{},
+		PutRouteTable{},
+		PatchRouteTable{},
 	}
 }
 
--- a/core/config/config.go
+++ b/core/config/config.go
@@ -35,8 +35,9 @@
 	Hosts     table.Table[ident.Host, Host]
 	Intents   table.Table[ident.Intent, Intent]
 	HandOvers table.Table[string, HandOver]
-	// Gateway is the route table, put in force whole.
-	Gateway Gateway
+	// Gateway is the route table, put in force whole. The field keeps the name that
+	// documents on the wire and on disk use.
+	Gateway RouteTable
 	// keys finds an account by the hash of its key.
 	keys table.Table[string, ident.Account]
 }
@@ -118,7 +119,7 @@
 		t.Models = slices.Clone(ch.Models)
 		t.Rev = c.Version
 		c.Targets = c.Targets.With(t.ID, t)
-	case PutGateway:
+	case PutRouteTable:
 		c.Gateway = ch.Gateway
 	}
 	return c, nil
@@ -135,9 +136,9 @@
 			ch.Account.KeyHash = old.KeyHash
 		}
 		return ch, nil
-	case PatchGateway:
+	case PatchRouteTable:
 		next, err := c.Gateway.WithPatch(ch.Patch)
-		return PutGateway{Gateway: next}, err
+		return PutRouteTable{Gateway: next}, err
 	}
 	return ch, nil
 }
@@ -187,7 +188,7 @@
 		return missing(c.Hosts.Has(ch.ID), "host", string(ch.ID))
 	case DeleteIntent:
 		return missing(c.Intents.Has(ch.ID), "intent", string(ch.ID))
-	case PutGateway:
+	case PutRouteTable:
 		return ch.Gateway.Check()
 	}
 	return errors.Errorf("unknown change %T", ch)
--- a/core/config/document.go
+++ b/core/config/document.go
@@ -18,7 +18,7 @@
 	Hosts     []Host
 	Intents   []Intent
 	HandOvers []HandOver
-	Gateway   Gateway
+	Gateway   RouteTable
 }
 
 // Document returns the configuration in its transferable form.
--- a/core/config/forms_test.go
+++ b/core/config/forms_test.go
@@ -24,18 +24,18 @@
 func TestPackedTablesOfEarlierProgramsAreRead(t *testing.T) {
 	text, err := os.ReadFile(packedGolden)
 	require.True(t, err == nil || *addForms, "%v", err)
-	table := formtest.Filled(reflect.TypeFor[config.Gateway](), nil).Interface().(config.Gateway)
-	delta := formtest.Filled(reflect.TypeFor[config.GatewayDelta](), nil).Interface().(config.GatewayDelta)
+	table := formtest.Filled(reflect.TypeFor[config.RouteTable](), nil).Interface().(config.RouteTable)
+	delta := formtest.Filled(reflect.TypeFor[config.RouteTableDelta](), nil).Interface().(config.RouteTableDelta)
 	all := formtest.Check(t, string(text), *addForms, []formtest.Form{
 		{
 			Name: "table", Want: table.WithoutSource(),
 			Encode: func() ([]byte, error) { return table.Packed(), nil },
-			Decode: func(record []byte) (any, error) { return config.UnpackGateway(record) },
+			Decode: func(record []byte) (any, error) { return config.UnpackRouteTable(record) },
 		},
 		{
 			Name: "delta", Want: delta,
 			Encode: func() ([]byte, error) { return delta.Packed(), nil },
-			Decode: func(record []byte) (any, error) { return config.UnpackGatewayDelta(record) },
+			Decode: func(record []byte) (any, error) { return config.UnpackRouteTableDelta(record) },
 		},
 	})
 	if *addForms {
--- a/core/config/gateway.go
+++ b/core/config/routetable.go
@@ -13,16 +13,16 @@
 	"github.com/yardhall/yardhall/core/pack"
 )
 
-// Gateway is the route table of the fleet: one document that an operator puts
+// RouteTable is the route table of the fleet: one document that an operator puts
 // in force whole, under a number of its own. The highest number prevails. The
 // zero value routes nothing.
-type Gateway struct {
+type RouteTable struct {
 	// Number is the operator's number of the document; 0 where none was taken.
-	Number uint64   `json:"number"`
-	Routes []Route  `json:"routes,omitempty"`
-	Pools  []Pool   `json:"pools,omitempty"`
-	Limits Limits   `json:"limits"`
-	Keys   []Holder `json:"keys,omitempty"`
+	Number uint64     `json:"number"`
+	Routes []Route    `json:"routes,omitempty"`
+	Pools  []Pool     `json:"pools,omitempty"`
+	Limits Limits     `json:"limits"`
+	Keys   []KeyOwner `json:"keys,omitempty"`
 	// Source is the document as the operator sent it, given back on a read.
 	Source []byte `json:"source,omitempty"`
 }
@@ -100,8 +100,8 @@
 	IdleTimeout    Duration `json:"idle_timeout,omitempty"`
 }
 
-// Holder is an account with the keys that it holds.
-type Holder struct {
+// KeyOwner is an account with the keys that it holds.
+type KeyOwner struct {
 	Account ident.Account `json:"account"`
 	// KeyHashes are the hex SHA-256 of its keys.
 	KeyHashes []string `json:"key_hashes,omitempty"`
@@ -111,31 +111,31 @@
 }
 
 // Check returns what is wrong with the document, or nil.
-func (g Gateway) Check() error {
-	if g.Number == 0 {
-		return errors.New("gateway: number must be 1 or more")
+func (t RouteTable) Check() error {
+	if t.Number == 0 {
+		return errors.New("route table: number must be 1 or more")
 	}
 	pools := map[ident.Service]bool{}
-	for _, p := range g.Pools {
+	for _, p := range t.Pools {
 		if p.ID == "" {
-			return errors.New("gateway: pool without an id")
+			return errors.New("route table: pool without an id")
 		}
 		pools[p.ID] = true
 	}
-	places := map[string]bool{}
-	for _, r := range g.Routes {
+	taken := map[string]bool{}
+	for _, r := range t.Routes {
 		if err := r.check(pools); err != nil {
 			return err
 		}
-		if places[r.place()] {
+		if taken[r.key()] {
 			return errors.Errorf("route %q: %s%s is taken by another route", r.Name, r.Host, r.Prefix)
 		}
-		places[r.place()] = true
+		taken[r.key()] = true
 	}
-	return g.checkKeys()
+	return t.checkKeys()
 }
 
-func (r Route) place() string { return strings.ToLower(r.Host) + "\x00" + r.Prefix }
+func (r Route) key() string { return strings.ToLower(r.Host) + "\x00" + r.Prefix }
 
 func (r Route) check(pools map[ident.Service]bool) error {
 	if !slices.Contains([]RouteKind{RouteSafe, RouteUnsafe, RouteStream}, r.Kind) {
@@ -163,125 +163,43 @@
 	return nil
 }
 
-func (g Gateway) checkKeys() error {
-	holders := map[string]ident.Account{}
-	for _, h := range g.Keys {
-		if h.Account == "" {
-			return errors.New("gateway: keys without an account")
+func (t RouteTable) checkKeys() error {
+	owners := map[string]ident.Account{}
+	for _, o := range t.Keys {
+		if o.Account == "" {
+			return errors.New("route table: keys without an account")
 		}
-		for _, key := range h.KeyHashes {
-			if other, ok := holders[key]; ok && other != h.Account {
-				return errors.Errorf("accounts %q and %q share a key", other, h.Account)
+		for _, key := range o.KeyHashes {
+			if other, ok := owners[key]; ok && other != o.Account {
+				return errors.Errorf("accounts %q and %q share a key", other, o.Account)
 			}
-			holders[key] = h.Account
+			owners[key] = o.Account
 		}
 	}
 	return nil
 }
 
 // WithoutSource returns the document as hosts need it that only route.
-func (g Gateway) WithoutSource() Gateway {
-	g.Source = nil
-	return g
+func (t RouteTable) WithoutSource() RouteTable {
+	t.Source = nil
+	return t
 }
 
 // Packed returns the document as it travels to hosts that only route.
-func (g Gateway) Packed() []byte {
-	b, err := cbor.Marshal(g.WithoutSource())
+func (t RouteTable) Packed() []byte {
+	b, err := cbor.Marshal(t.WithoutSource())
 	if err != nil {
 		panic(errors.Wrap(err, "config: encode a route table"))
 	}
 	return pack.Bytes(b)
 }
 
-// UnpackGateway reads what Packed returned.
-func UnpackGateway(record []byte) (Gateway, error) {
-	var g Gateway
+// UnpackRouteTable reads what Packed returned.
+func UnpackRouteTable(record []byte) (RouteTable, error) {
+	var t RouteTable
 	b, err := pack.Unpack(record)
 	if err != nil {
-		return g, errors.Wrap(err, "route table")
+		return t, errors.Wrap(err, "route table")
 	}
-	return g, errors.Wrap(cbor.Unmarshal(b, &g), "route table")
-}
-
-// GatewayIndex finds routes and keys of one Gateway. It never changes.
-type GatewayIndex struct {
-	routes map[string][]Route
-	keys   map[string]Holder
-	pools  map[ident.Service]Pool
-	// used are the pools that some route sends requests to.
-	used []ident.Service
-	// named are the names of the routes.
-	named map[string]bool
-}
-
-// Index returns the document prepared for look-ups.
-func (g Gateway) Index() GatewayIndex {
-	x := GatewayIndex{
-		routes: map[string][]Route{}, keys: map[string]Holder{}, pools: map[ident.Service]Pool{}, named: map[string]bool{},
-	}
-	for _, r := range g.Routes {
-		name := strings.ToLower(r.Host)
-		x.routes[name] = append(x.routes[name], r)
-		x.named[r.Name] = true
-	}
-	for _, routes := range x.routes {
-		slices.SortFunc(routes, func(a, b Route) int { return len(b.Prefix) - len(a.Prefix) })
-	}
-	for _, h := range g.Keys {
-		for _, key := range h.KeyHashes {
-			x.keys[key] = h
-		}
-	}
-	for _, p := range g.Pools {
-		x.pools[p.ID] = p
-	}
-	x.used = g.usedPools()
-	return x
-}
-
-// Named tells whether a route has a name.
-func (x GatewayIndex) Named(route string) bool { return x.named[route] }
-
-// Used are the pools that some route sends requests to, in the order of their names.
-func (x GatewayIndex) Used() []ident.Service { return x.used }
-
-func (g Gateway) usedPools() []ident.Service {
-	var out []ident.Service
-	for _, r := range g.Routes {
-		for _, s := range r.Shares {
-			if s.Weight > 0 {
-				out = append(out, s.Pool)
-			}
-		}
-	}
-	slices.Sort(out)
-	return slices.Compact(out)
-}
-
-// Route returns the route of host and path with the longest prefix. A port in
-// the host name is ignored.
-func (x GatewayIndex) Route(host, path string) (Route, bool) {
-	name, _, _ := strings.Cut(strings.ToLower(host), ":")
-	for _, r := range x.routes[name] {
-		if strings.HasPrefix(path, r.Prefix) {
-			return r, true
-		}
-	}
-	return Route{}, false
-}
-
-// Holder returns the account that holds the key with the given hash.
-func (x GatewayIndex) Holder(keyHash string) (Holder, bool) {
-	h, ok := x.keys[keyHash]
-	return h, ok
-}
-
-// Keyed tells whether any account holds a key.
-func (x GatewayIndex) Keyed() bool { return len(x.keys) > 0 }
-
-// Pool returns a pool by its id.
-func (x GatewayIndex) Pool(id ident.Service) (Pool, bool) {
-	p, ok := x.pools[id]
-	return p, ok
+	return t, errors.Wrap(cbor.Unmarshal(b, &t), "route table")
 }
--- a/core/config/gateway_test.go
+++ b/core/config/routetable_test.go
@@ -15,8 +15,8 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-func drawTable(t *rapid.T, number uint64) config.Gateway {
-	g := config.Gateway{Number: number, Pools: []config.Pool{{ID: "p"}, {ID: "q"}}}
+func drawTable(t *rapid.T, number uint64) config.RouteTable {
+	g := config.RouteTable{Number: number, Pools: []config.Pool{{ID: "p"}, {ID: "q"}}}
 	for i := range 8 {
 		if rapid.Bool().Draw(t, "route") {
 			g.Routes = append(g.Routes, config.Route{
@@ -26,7 +26,7 @@
 			})
 		}
 		if rapid.Bool().Draw(t, "holder") {
-			g.Keys = append(g.Keys, config.Holder{
+			g.Keys = append(g.Keys, config.KeyOwner{
 				Account:   ident.Account(fmt.Sprint("account-", i)),
 				KeyHashes: []string{fmt.Sprint("key-", i, rapid.IntRange(0, 2).Draw(t, "key"))},
 			})
@@ -40,7 +40,7 @@
 func TestDeltaLeadsToTheSameTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before, next := drawTable(t, 1), drawTable(t, 2)
-		d, err := config.UnpackGatewayDelta(before.DeltaTo(next).Packed())
+		d, err := config.UnpackRouteTableDelta(before.DeltaTo(next).Packed())
 		require.NoError(t, err)
 		got, err := before.WithDelta(d)
 		require.NoError(t, err)
@@ -55,7 +55,7 @@
 
 // TestSmallChangeOfALargeTableIsSmall changes one of 460 routes.
 func TestSmallChangeOfALargeTableIsSmall(t *testing.T) {
-	var g config.Gateway
+	var g config.RouteTable
 	for i := range 460 {
 		g.Routes = append(g.Routes, config.Route{
 			Name: fmt.Sprint("r-", i*7919), Host: fmt.Sprintf("h%d.example", i*104729), Prefix: fmt.Sprintf("/p%d/", i*1299709),
@@ -71,24 +71,24 @@
 }
 
 func TestChecksOfARouteTable(t *testing.T) {
-	good := func() config.Gateway {
-		return config.Gateway{
+	good := func() config.RouteTable {
+		return config.RouteTable{
 			Number: 1, Pools: []config.Pool{{ID: "p"}},
 			Routes: []config.Route{{Name: "r", Host: "a.example", Prefix: "/x/", Kind: config.RouteSafe, Timeout: config.Duration(time.Second), Shares: []config.Share{{Pool: "p", Weight: 1}}}},
-			Keys:   []config.Holder{{Account: "a", KeyHashes: []string{"k", "k"}}},
+			Keys:   []config.KeyOwner{{Account: "a", KeyHashes: []string{"k", "k"}}},
 		}
 	}
 	require.NoError(t, good().Check())
-	for name, spoil := range map[string]func(*config.Gateway){
-		"number":       func(g *config.Gateway) { g.Number = 0 },
-		"unknown pool": func(g *config.Gateway) { g.Routes[0].Shares[0].Pool = "none" },
-		"same place":   func(g *config.Gateway) { g.Routes = append(g.Routes, g.Routes[0]) },
-		"weights":      func(g *config.Gateway) { g.Routes[0].Shares[0].Weight = 0 },
-		"negative":     func(g *config.Gateway) { g.Routes[0].Shares[0].Weight = -1 },
-		"timeout":      func(g *config.Gateway) { g.Routes[0].Timeout = 0 },
-		"kind":         func(g *config.Gateway) { g.Routes[0].Kind = "none" },
-		"shared key": func(g *config.Gateway) {
-			g.Keys = append(g.Keys, config.Holder{Account: "b", KeyHashes: []string{"k"}})
+	for name, spoil := range map[string]func(*config.RouteTable){
+		"number":       func(g *config.RouteTable) { g.Number = 0 },
+		"unknown pool": func(g *config.RouteTable) { g.Routes[0].Shares[0].Pool = "none" },
+		"same place":   func(g *config.RouteTable) { g.Routes = append(g.Routes, g.Routes[0]) },
+		"weights":      func(g *config.RouteTable) { g.Routes[0].Shares[0].Weight = 0 },
+		"negative":     func(g *config.RouteTable) { g.Routes[0].Shares[0].Weight = -1 },
+		"timeout":      func(g *config.RouteTable) { g.Routes[0].Timeout = 0 },
+		"kind":         func(g *config.RouteTable) { g.Routes[0].Kind = "none" },
+		"shared key": func(g *config.RouteTable) {
+			g.Keys = append(g.Keys, config.KeyOwner{Account: "b", KeyHashes: []string{"k"}})
 		},
 	} {
 		g := good()
@@ -116,7 +116,7 @@
 		default:
 			t.Fatalf("field %s of an unknown kind", value.Type().Field(i).Name)
 		}
-		d := config.Gateway{Routes: []config.Route{base}}.DeltaTo(config.Gateway{Routes: []config.Route{changed}})
+		d := config.RouteTable{Routes: []config.Route{base}}.DeltaTo(config.RouteTable{Routes: []config.Route{changed}})
 		require.Len(t, d.Put, 1, value.Type().Field(i).Name)
 	}
 }
--- a/core/config/delta.go
+++ b/core/config/routetabledelta.go
@@ -12,53 +12,53 @@
 	"github.com/yardhall/yardhall/core/pack"
 )
 
-// GatewayDelta leads from one route table to another. Sources are left out:
+// RouteTableDelta leads from one route table to another. Sources are left out:
 // only hosts that keep the replicated state hold them.
-type GatewayDelta struct {
+type RouteTableDelta struct {
 	From uint64 `json:"from"`
 	To   uint64 `json:"to"`
 	// Put are routes that are new or changed, Drop the places without one.
-	Put  []Route      `json:"put,omitempty"`
-	Drop []RoutePlace `json:"drop,omitempty"`
+	Put  []Route    `json:"put,omitempty"`
+	Drop []RouteKey `json:"drop,omitempty"`
 	// Keys are holders that are new or changed, DropKeys accounts without keys.
-	Keys     []Holder        `json:"keys,omitempty"`
+	Keys     []KeyOwner      `json:"keys,omitempty"`
 	DropKeys []ident.Account `json:"drop_keys,omitempty"`
 	// Pools and Limits are whole.
 	Pools  []Pool `json:"pools,omitempty"`
 	Limits Limits `json:"limits"`
 }
 
-// RoutePlace is where a route stands; no two routes share one.
-type RoutePlace struct {
+// RouteKey is where a route stands; no two routes share one.
+type RouteKey struct {
 	Host   string `json:"host"`
 	Prefix string `json:"prefix"`
 }
 
-func placeOf(r Route) RoutePlace { return RoutePlace{Host: r.Host, Prefix: r.Prefix} }
+func routeKeyOf(r Route) RouteKey { return RouteKey{Host: r.Host, Prefix: r.Prefix} }
 
 // DeltaTo returns what leads from g to next.
-func (g Gateway) DeltaTo(next Gateway) GatewayDelta {
-	d := GatewayDelta{From: g.Number, To: next.Number, Pools: next.Pools, Limits: next.Limits}
-	d.Put, d.Drop = changed(g.Routes, next.Routes, placeOf, Route.equal)
-	d.Keys, d.DropKeys = changed(g.Keys, next.Keys, accountOf, Holder.equal)
+func (t RouteTable) DeltaTo(next RouteTable) RouteTableDelta {
+	d := RouteTableDelta{From: t.Number, To: next.Number, Pools: next.Pools, Limits: next.Limits}
+	d.Put, d.Drop = changed(t.Routes, next.Routes, routeKeyOf, Route.equal)
+	d.Keys, d.DropKeys = changed(t.Keys, next.Keys, accountOf, KeyOwner.equal)
 	return d
 }
 
-func accountOf(h Holder) ident.Account { return h.Account }
+func accountOf(h KeyOwner) ident.Account { return h.Account }
 
 // equal compares two routes field by field.
 func (r Route) equal(other Route) bool {
 	if !slices.Equal(r.Shares, other.Shares) {
 		return false
 	}
-	return r.Name == other.Name && placeOf(r) == placeOf(other) && r.Kind == other.Kind &&
+	return r.Name == other.Name && routeKeyOf(r) == routeKeyOf(other) && r.Kind == other.Kind &&
 		r.Timeout == other.Timeout && r.Objective == other.Objective && r.MaxPause == other.MaxPause &&
 		r.Rank == other.Rank && r.MaxAttempts == other.MaxAttempts &&
 		r.Public == other.Public && r.Affine == other.Affine && r.Resumable == other.Resumable
 }
 
 // equal compares two holders field by field.
-func (h Holder) equal(other Holder) bool {
+func (h KeyOwner) equal(other KeyOwner) bool {
 	return h.Account == other.Account && h.Rank == other.Rank && h.Ranked == other.Ranked &&
 		slices.Equal(h.KeyHashes, other.KeyHashes)
 }
@@ -87,13 +87,13 @@
 
 // WithDelta returns the table that d leads to, or an error where d does not
 // begin at g.
-func (g Gateway) WithDelta(d GatewayDelta) (Gateway, error) {
-	if d.From != g.Number {
-		return g, errors.Errorf("route table: a delta from %d does not fit %d", d.From, g.Number)
+func (t RouteTable) WithDelta(d RouteTableDelta) (RouteTable, error) {
+	if d.From != t.Number {
+		return t, errors.Errorf("route table: a delta from %d does not fit %d", d.From, t.Number)
 	}
-	next := Gateway{Number: d.To, Pools: d.Pools, Limits: d.Limits}
-	next.Routes = applied(g.Routes, d.Put, d.Drop, placeOf)
-	next.Keys = applied(g.Keys, d.Keys, d.DropKeys, accountOf)
+	next := RouteTable{Number: d.To, Pools: d.Pools, Limits: d.Limits}
+	next.Routes = applied(t.Routes, d.Put, d.Drop, routeKeyOf)
+	next.Keys = applied(t.Keys, d.Keys, d.DropKeys, accountOf)
 	return next, nil
 }
 
@@ -115,7 +115,7 @@
 }
 
 // Packed returns the delta as it travels.
-func (d GatewayDelta) Packed() []byte {
+func (d RouteTableDelta) Packed() []byte {
 	b, err := cbor.Marshal(d)
 	if err != nil {
 		panic(errors.Wrap(err, "config: encode a delta"))
@@ -123,9 +123,9 @@
 	return pack.Bytes(b)
 }
 
-// UnpackGatewayDelta reads what Packed returned.
-func UnpackGatewayDelta(record []byte) (GatewayDelta, error) {
-	var d GatewayDelta
+// UnpackRouteTableDelta reads what Packed returned.
+func UnpackRouteTableDelta(record []byte) (RouteTableDelta, error) {
+	var d RouteTableDelta
 	b, err := pack.Unpack(record)
 	if err != nil {
 		return d, errors.Wrap(err, "route table delta")
--- a/core/config/subject.go
+++ b/core/config/subject.go
@@ -77,9 +77,9 @@
 		return Subject{"DeleteIntent", KindIntent, string(ch.ID)}
 	case PutHandOver:
 		return Subject{"PutHandOver", KindHandOver, ch.HandOver.Key()}
-	case PutGateway:
+	case PutRouteTable:
 		return Subject{"PutGateway", KindRouteTable, ""}
-	case PatchGateway:
+	case PatchRouteTable:
 		return Subject{"PatchGateway", KindRouteTable, ""}
 	}
 	return Subject{}
--- a/core/gateway/admit.go
+++ b/core/gateway/admit.go
@@ -58,7 +58,7 @@
 		return false
 	}
 	c.route, c.rank = route, route.Rank
-	holder, known := t.index.Holder(c.req.KeyHash)
+	holder, known := t.index.KeyOwner(c.req.KeyHash)
 	if !known && !route.Public && t.index.Keyed() {
 		t.refuseBy(c.req.ID, fresh, CodeBadKey, "the API key is not known")
 		return false
--- a/core/gateway/bench_test.go
+++ b/core/gateway/bench_test.go
@@ -20,7 +20,7 @@
 	for _, size := range []int{9, 144, 910} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			now := time.Unix(1000, 0)
-			s := gateway.New(gateway.Settings{Zone: "z"}).WithConfig(config.Gateway{
+			s := gateway.New(gateway.Settings{Zone: "z"}).WithConfig(config.RouteTable{
 				Number: 1, Pools: []config.Pool{{ID: "pool", Engine: true, Moves: true}},
 				Routes: []config.Route{{
 					Host: "a.example", Prefix: "/x/", Kind: config.RouteStream, Timeout: config.Duration(time.Minute),
--- a/core/gateway/gateway.go
+++ b/core/gateway/gateway.go
@@ -77,7 +77,7 @@
 type State struct {
 	settings Settings
 	number   uint64
-	index    config.GatewayIndex
+	index    config.RouteIndex
 	// confirmed is when the configuration held was surely the newest one.
 	confirmed time.Time
 	// behind is set while a newer table than the one held is known of.
@@ -131,7 +131,7 @@
 const assumedHosts = 16
 
 // WithConfig returns the gateway with a route table in force.
-func (s State) WithConfig(g config.Gateway) State {
+func (s State) WithConfig(g config.RouteTable) State {
 	if g.Number <= s.number {
 		return s
 	}
--- a/core/gateway/gateway_test.go
+++ b/core/gateway/gateway_test.go
@@ -21,10 +21,10 @@
 
 // table has one route of each kind, to a pool of plain workers and one of
 // engines.
-func table() config.Gateway {
+func table() config.RouteTable {
 	second := config.Duration(time.Second)
 	to := func(pool ident.Service) []config.Share { return []config.Share{{Pool: pool, Weight: 1}} }
-	return config.Gateway{
+	return config.RouteTable{
 		Number: 1,
 		Pools:  []config.Pool{{ID: "plain"}, {ID: "engines", Engine: true, Moves: true}},
 		Routes: []config.Route{
@@ -34,7 +34,7 @@
 			{Name: "once", Host: "a.example", Prefix: "/once/", Kind: config.RouteStream, Timeout: second, MaxAttempts: 2, Shares: to("engines")},
 			{Name: "resumable", Host: "a.example", Prefix: "/resumable/", Kind: config.RouteStream, Resumable: true, Timeout: second, MaxAttempts: 2, Shares: to("engines")},
 		},
-		Keys: []config.Holder{{Account: "halls", KeyHashes: []string{"key"}, Rank: 4, Ranked: true}},
+		Keys: []config.KeyOwner{{Account: "halls", KeyHashes: []string{"key"}, Rank: 4, Ranked: true}},
 	}
 }
 
--- a/core/host/capacity_test.go
+++ b/core/host/capacity_test.go
@@ -247,8 +247,8 @@
 	return loads.Pack(counts)
 }
 
-func routeTable(n int) config.Gateway {
-	g := config.Gateway{Number: 1, Pools: []config.Pool{{ID: "pool", Engine: true, Moves: true}}}
+func routeTable(n int) config.RouteTable {
+	g := config.RouteTable{Number: 1, Pools: []config.Pool{{ID: "pool", Engine: true, Moves: true}}}
 	for i := range n {
 		name := hash.Of(fmt.Sprint(i))
 		g.Routes = append(g.Routes, config.Route{
@@ -266,7 +266,7 @@
 		Host: "a.example", Prefix: "/x/", Kind: config.RouteStream, Timeout: config.Duration(time.Minute),
 		Shares: []config.Share{{Pool: "pool", Weight: 1}}, MaxAttempts: 2,
 	})
-	g.Keys = []config.Holder{{Account: "a", KeyHashes: []string{"k"}}}
+	g.Keys = []config.KeyOwner{{Account: "a", KeyHashes: []string{"k"}}}
 	s := gateway.New(gateway.Settings{Zone: "z"}).WithConfig(g)
 	workers := make([]registry.Worker, 0, n)
 	for i := range n {
--- a/core/host/inforce.go
+++ b/core/host/inforce.go
@@ -251,7 +251,7 @@
 func (t *turn) changesTable(w catalog.Write) bool {
 	edit, _ := w.Command.(catalog.Edit)
 	switch edit.Change.(type) {
-	case config.PutGateway, config.PatchGateway:
+	case config.PutRouteTable, config.PatchRouteTable:
 		return t.settings.Seeded()
 	}
 	return false
--- a/core/host/inforce_test.go
+++ b/core/host/inforce_test.go
@@ -23,11 +23,11 @@
 const inForceTime = 2*time.Second + seededStep
 
 // submit hands a route table to a replica, and returns under which id it is answered.
-func (f *seededFleet) submit(at ident.Host, g config.Gateway) string {
+func (f *seededFleet) submit(at ident.Host, g config.RouteTable) string {
 	f.starts++
 	id := fmt.Sprintf("write-%d", f.starts)
 	f.reduce(at, host.Submitted{
-		Write:    catalog.Write{ID: id, Command: catalog.Edit{Change: config.PutGateway{Gateway: g}}},
+		Write:    catalog.Write{ID: id, Command: catalog.Edit{Change: config.PutRouteTable{Gateway: g}}},
 		Deadline: f.now.Add(20 * time.Second),
 	})
 	return id
--- a/core/host/seeded_test.go
+++ b/core/host/seeded_test.go
@@ -248,8 +248,8 @@
 	return ""
 }
 
-func (f *seededFleet) table(number uint64, keys ...string) config.Gateway {
-	g := config.Gateway{
+func (f *seededFleet) table(number uint64, keys ...string) config.RouteTable {
+	g := config.RouteTable{
 		Number: number, Source: []byte(fmt.Sprintf("document %d", number)),
 		Pools: []config.Pool{{ID: "pool"}},
 		Routes: []config.Route{
@@ -258,18 +258,18 @@
 		},
 	}
 	for _, k := range keys {
-		g.Keys = append(g.Keys, config.Holder{Account: ident.Account("holder-" + k), KeyHashes: []string{k}})
+		g.Keys = append(g.Keys, config.KeyOwner{Account: ident.Account("holder-" + k), KeyHashes: []string{k}})
 	}
 	return g
 }
 
 // put submits a route table at a replica and tells whether it was acknowledged
 // within the limit.
-func (f *seededFleet) put(at ident.Host, g config.Gateway, limit time.Duration) bool {
+func (f *seededFleet) put(at ident.Host, g config.RouteTable, limit time.Duration) bool {
 	f.starts++
 	id := fmt.Sprintf("write-%d", f.starts)
 	f.reduce(at, host.Submitted{
-		Write:    catalog.Write{ID: id, Command: catalog.Edit{Change: config.PutGateway{Gateway: g}}},
+		Write:    catalog.Write{ID: id, Command: catalog.Edit{Change: config.PutRouteTable{Gateway: g}}},
 		Deadline: f.now.Add(limit),
 	})
 	f.run(limit)
@@ -278,7 +278,7 @@
 
 // commit submits a route table at the leader and lets half a second pass, after which it
 // must be committed. Hosts that cannot be reached then hold its acknowledgement up.
-func (f *seededFleet) commit(at ident.Host, g config.Gateway) string {
+func (f *seededFleet) commit(at ident.Host, g config.RouteTable) string {
 	id := f.submit(at, g)
 	f.run(500 * time.Millisecond)
 	require.Equal(f.t, g.Number, f.states[at].Config().Gateway.Number)
@@ -338,7 +338,7 @@
 	for i := range 3 {
 		require.Equal(t, "document 9", string(f.states[replicaName(i)].Config().Gateway.Source))
 	}
-	require.False(t, f.put(replicaName(0), config.Gateway{Number: 12, Routes: []config.Route{{Host: "h"}}}, time.Second))
+	require.False(t, f.put(replicaName(0), config.RouteTable{Number: 12, Routes: []config.Route{{Host: "h"}}}, time.Second))
 	require.EqualValues(t, 9, f.states[entryName(0)].Gateway().Number())
 }
 
@@ -577,7 +577,7 @@
 	}
 	before := f.states[leader].Raft().Log().Last()
 	f.reduce(leader, host.Submitted{
-		Write:    catalog.Write{ID: "own", Command: catalog.Edit{Change: config.PutGateway{Gateway: f.table(1, "k")}}},
+		Write:    catalog.Write{ID: "own", Command: catalog.Edit{Change: config.PutRouteTable{Gateway: f.table(1, "k")}}},
 		Deadline: f.now.Add(5 * time.Second),
 	})
 	f.run(800 * time.Millisecond)
--- a/core/host/sync.go
+++ b/core/host/sync.go
@@ -90,7 +90,7 @@
 	neighbours neighbourState
 	// tables are the newest route tables, packed what leads from each of them
 	// to the newest one.
-	tables table.Table[config.Version, config.Gateway]
+	tables table.Table[config.Version, config.RouteTable]
 	packed table.Table[config.Version, []byte]
 }
 
--- a/core/host/syncanswer.go
+++ b/core/host/syncanswer.go
@@ -86,16 +86,16 @@
 	t.useConfig(next)
 }
 
-func (t *turn) unpackGateway(m SyncAnswer) (config.Gateway, error) {
+func (t *turn) unpackGateway(m SyncAnswer) (config.RouteTable, error) {
 	if m.Base == 0 {
-		return config.UnpackGateway(m.Gateway)
+		return config.UnpackRouteTable(m.Gateway)
 	}
 	if m.Base != t.config.Version {
-		return config.Gateway{}, errors.Errorf("a delta from version %d, held is %d", m.Base, t.config.Version)
+		return config.RouteTable{}, errors.Errorf("a delta from version %d, held is %d", m.Base, t.config.Version)
 	}
-	d, err := config.UnpackGatewayDelta(m.Gateway)
+	d, err := config.UnpackRouteTableDelta(m.Gateway)
 	if err != nil {
-		return config.Gateway{}, err
+		return config.RouteTable{}, err
 	}
 	return t.config.Gateway.WithDelta(d)
 }
--- a/core/host/table_test.go
+++ b/core/host/table_test.go
@@ -17,13 +17,13 @@
 )
 
 // largeTable is a route table of many routes with its source.
-func largeTable(t *testing.T, number uint64, routes int) config.Gateway {
+func largeTable(t *testing.T, number uint64, routes int) config.RouteTable {
 	g := routeTable(routes)
 	g.Number = number
 	return withSource(t, g)
 }
 
-func withSource(t *testing.T, g config.Gateway) config.Gateway {
+func withSource(t *testing.T, g config.RouteTable) config.RouteTable {
 	var err error
 	g.Source, err = json.Marshal(g.WithoutSource())
 	require.NoError(t, err)
@@ -69,7 +69,7 @@
 	}{"lower": {leader, 5}, "higher": {f.follower(), 6}} {
 		g := largeTable(t, race.number, 40+int(race.number))
 		f.reduce(race.at, host.Submitted{
-			Write:    catalog.Write{ID: id, Command: catalog.Edit{Change: config.PutGateway{Gateway: g}}},
+			Write:    catalog.Write{ID: id, Command: catalog.Edit{Change: config.PutRouteTable{Gateway: g}}},
 			Deadline: f.now.Add(5 * time.Second),
 		})
 	}
@@ -120,7 +120,7 @@
 		g := largeTable(t, uint64(2+i), 800)
 		g.Routes[i].MaxAttempts = 9
 		f.reduce(replicaName(i%3), host.Submitted{
-			Write:    catalog.Write{ID: fmt.Sprint("storm-", i), Command: catalog.Edit{Change: config.PutGateway{Gateway: withSource(t, g)}}},
+			Write:    catalog.Write{ID: fmt.Sprint("storm-", i), Command: catalog.Edit{Change: config.PutRouteTable{Gateway: withSource(t, g)}}},
 			Deadline: f.now.Add(5 * time.Second),
 		})
 	}
@@ -153,7 +153,7 @@
 	f.run(5 * time.Second)
 	id := replicaName(0)
 	g := routeTable(1600)
-	tables := make([]config.Gateway, 2)
+	tables := make([]config.RouteTable, 2)
 	for i := range tables {
 		next := g
 		next.Routes = append([]config.Route(nil), g.Routes...)
@@ -167,7 +167,7 @@
 		next := tables[number%2]
 		next.Number = number
 		f.reduce(id, host.Submitted{
-			Write:    catalog.Write{ID: "w", Command: catalog.Edit{Change: config.PutGateway{Gateway: next}}},
+			Write:    catalog.Write{ID: "w", Command: catalog.Edit{Change: config.PutRouteTable{Gateway: next}}},
 			Deadline: f.now.Add(time.Minute),
 		})
 	}
--- a/core/host/write.go
+++ b/core/host/write.go
@@ -45,7 +45,7 @@
 // comes later, so it needs no place in the log.
 func (t *turn) overtaken(w catalog.Write) bool {
 	edit, _ := w.Command.(catalog.Edit)
-	put, ok := edit.Change.(config.PutGateway)
+	put, ok := edit.Change.(config.PutRouteTable)
 	return ok && !edit.Guarded && put.Gateway.Number <= t.catalog.Config.Gateway.Number && put.Gateway.Check() == nil
 }
 
@@ -54,12 +54,12 @@
 // replicas then carry a small change of a large table as a small entry.
 func (t *turn) patched(w catalog.Write) catalog.Write {
 	edit, _ := w.Command.(catalog.Edit)
-	put, ok := edit.Change.(config.PutGateway)
+	put, ok := edit.Change.(config.PutRouteTable)
 	held := t.catalog.Config.Gateway
 	if !ok || held.Number == 0 {
 		return w
 	}
-	edit.Change = config.PatchGateway{Patch: held.PatchTo(put.Gateway)}
+	edit.Change = config.PatchRouteTable{Patch: held.PatchTo(put.Gateway)}
 	w.Command = edit
 	return w
 }
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -77,7 +77,7 @@
 func newBench(t *testing.T, workers int) *bench {
 	second := config.Duration(2 * time.Second)
 	shares := []config.Share{{Pool: "pool", Weight: 1}}
-	table := config.Gateway{
+	table := config.RouteTable{
 		Number: 1, Pools: []config.Pool{{ID: "pool"}},
 		Routes: []config.Route{
 			{Host: "a.example", Prefix: "/safe/", Kind: config.RouteSafe, Timeout: second, MaxAttempts: 2, Shares: shares},
@@ -86,7 +86,7 @@
 			{Host: "a.example", Prefix: "/stream/once/", Kind: config.RouteStream, Timeout: second, MaxAttempts: 2, Shares: shares},
 			{Host: "a.example", Prefix: "/stream/again/", Kind: config.RouteStream, Resumable: true, Timeout: second, MaxAttempts: 2, Shares: shares},
 		},
-		Keys: []config.Holder{{Account: "halls", KeyHashes: []string{keys.Hash(callerKey)}}},
+		Keys: []config.KeyOwner{{Account: "halls", KeyHashes: []string{keys.Hash(callerKey)}}},
 	}
 	b := &bench{t: t, core: &fakeCore{}, pool: gateway.NewPool(nil)}
 	b.core.state = core.New(core.Settings{KeyLease: time.Hour}).WithConfig(table).WithHosts(1)
--- a/operators/kinds.go
+++ b/operators/kinds.go
@@ -147,14 +147,14 @@
 // gatewayKind is the route table, which is replaced whole: the highest number
 // prevails, and one that does not exceed it changes nothing.
 func gatewayKind() kind {
-	held := func(c config.Config) config.Gateway { return c.Gateway.WithoutSource() }
+	held := func(c config.Config) config.RouteTable { return c.Gateway.WithoutSource() }
 	return kind{
 		list: func(c config.Config) any { return held(c) },
 		get: func(c config.Config, id string) (object, bool) {
 			return object{held(c), config.Version(c.Gateway.Number)}, id == gatewayTable && c.Gateway.Number > 0
 		},
 		put: func(id string, body []byte) (config.Change, error) {
-			var g config.Gateway
+			var g config.RouteTable
 			if id != gatewayTable {
 				return nil, errors.Errorf("the route table is /gateway/%s", gatewayTable)
 			}
@@ -164,7 +164,7 @@
 			if len(g.Source) > 0 {
 				return nil, errors.New("source is not taken here")
 			}
-			return config.PutGateway{Gateway: g}, g.Check()
+			return config.PutRouteTable{Gateway: g}, g.Check()
 		},
 	}
 }
--- a/site/site_test.go
+++ b/site/site_test.go
@@ -134,7 +134,7 @@
 	c := s.Operator()
 	put := func(number uint64, pools ...config.Pool) error {
 		_, err := c.Do(t.Context(), operators.Request{
-			Method: http.MethodPut, Path: "/v1/gateway/table", Body: config.Gateway{Number: number, Pools: pools},
+			Method: http.MethodPut, Path: "/v1/gateway/table", Body: config.RouteTable{Number: number, Pools: pools},
 			Key: fmt.Sprint("table-", number),
 		}, nil)
 		return err
@@ -144,7 +144,7 @@
 	require.NoError(t, put(7, config.Pool{ID: "text"}, config.Pool{ID: "plain"}), "the same write again")
 	require.NoError(t, put(6, config.Pool{ID: "other"}), "an older one is taken note of")
 	require.Error(t, put(9, config.Pool{}), "a pool without an id")
-	var got config.Gateway
+	var got config.RouteTable
 	require.NoError(t, site.Await(t.Context(), time.Minute, "the table at the host asked", func() bool {
 		_, err := c.Do(t.Context(), operators.Request{Method: http.MethodGet, Path: "/v1/gateway/table"}, &got)
 		return err == nil && got.Number == 7
