--- a/core/config/routetabledelta.go
+++ b/core/config/routetabledelta.go
@@ -20,7 +20,7 @@
 	// Put are routes that are new or changed, Drop the places without one.
 	Put  []Route    `json:"put,omitempty"`
 	Drop []RouteKey `json:"drop,omitempty"`
-	// Keys are holders that are new or changed, DropKeys accounts without keys.
+	// Keys are key owners that are new or changed, DropKeys accounts without keys.
 	Keys     []KeyOwner      `json:"keys,omitempty"`
 	DropKeys []ident.Account `json:"drop_keys,omitempty"`
 	// Pools and Limits are whole.
@@ -36,7 +36,7 @@
 
 func routeKeyOf(r Route) RouteKey { return RouteKey{Host: r.Host, Prefix: r.Prefix} }
 
-// DeltaTo returns what leads from g to next.
+// DeltaTo returns what leads from t to next.
 func (t RouteTable) DeltaTo(next RouteTable) RouteTableDelta {
 	d := RouteTableDelta{From: t.Number, To: next.Number, Pools: next.Pools, Limits: next.Limits}
 	d.Put, d.Drop = changed(t.Routes, next.Routes, routeKeyOf, Route.equal)
@@ -44,7 +44,7 @@
 	return d
 }
 
-func accountOf(h KeyOwner) ident.Account { return h.Account }
+func accountOf(o KeyOwner) ident.Account { return o.Account }
 
 // equal compares two routes field by field.
 func (r Route) equal(other Route) bool {
@@ -57,10 +57,10 @@
 		r.Public == other.Public && r.Affine == other.Affine && r.Resumable == other.Resumable
 }
 
-// equal compares two holders field by field.
-func (h KeyOwner) equal(other KeyOwner) bool {
-	return h.Account == other.Account && h.Rank == other.Rank && h.Ranked == other.Ranked &&
-		slices.Equal(h.KeyHashes, other.KeyHashes)
+// equal compares two key owners field by field.
+func (o KeyOwner) equal(other KeyOwner) bool {
+	return o.Account == other.Account && o.Rank == other.Rank && o.Ranked == other.Ranked &&
+		slices.Equal(o.KeyHashes, other.KeyHashes)
 }
 
 // changed returns the items of next that differ from those of before, and the
@@ -86,7 +86,7 @@
 }
 
 // WithDelta returns the table that d leads to, or an error where d does not
-// begin at g.
+// begin at t.
 func (t RouteTable) WithDelta(d RouteTableDelta) (RouteTable, error) {
 	if d.From != t.Number {
 		return t, errors.Errorf("route table: a delta from %d does not fit %d", d.From, t.Number)
--- a/core/config/routetablepatch.go
+++ b/core/config/routetablepatch.go
@@ -15,13 +15,13 @@
 	Source []pack.Step     `json:"source,omitempty"`
 }
 
-// PatchTo returns the patch that leads from g to next.
+// PatchTo returns the patch that leads from t to next.
 func (t RouteTable) PatchTo(next RouteTable) RouteTablePatch {
 	return RouteTablePatch{Delta: t.DeltaTo(next), Source: pack.Diff(t.Source, next.Source)}
 }
 
 // WithPatch returns the table that p leads to, or an error where p does not
-// begin at g.
+// begin at t.
 func (t RouteTable) WithPatch(p RouteTablePatch) (RouteTable, error) {
 	next, err := t.WithDelta(p.Delta)
 	if err != nil {
--- a/core/host/capacity_test.go
+++ b/core/host/capacity_test.go
@@ -18,13 +18,13 @@
 
 	"github.com/yardhall/yardhall/core/catalog"
 	"github.com/yardhall/yardhall/core/config"
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/hash"
 	"github.com/yardhall/yardhall/core/host"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/loads"
 	"github.com/yardhall/yardhall/core/outcome"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 	"github.com/yardhall/yardhall/core/routing"
 )
 
@@ -194,12 +194,12 @@
 			return nanos(func(b *testing.B) {
 				for i := 0; b.Loop(); i++ {
 					id := ident.Request(fmt.Sprintf("r%d", i))
-					s, _ = gateway.Reduce(s, gateway.Arrived{Request: gateway.Request{
-						ID: id, Host: "a.example", Path: "/x/y", KeyHash: "k", Prompt: gateway.Prompt{Model: "m", Parts: []gateway.Part{
+					s, _ = requests.Reduce(s, requests.Arrived{Request: requests.Request{
+						ID: id, Host: "a.example", Path: "/x/y", KeyHash: "k", Prompt: requests.Prompt{Model: "m", Parts: []requests.Part{
 							{ID: "system", Tokens: 500}, {ID: fmt.Sprint(i % 30), Tokens: 9000}, {ID: "own", Tokens: 900},
 						}},
 					}}, now)
-					s, _ = gateway.Reduce(s, gateway.AttemptEnded{Request: id, Attempt: 1, Result: outcome.Answered{Status: 200}, Wanted: true}, now)
+					s, _ = requests.Reduce(s, requests.AttemptEnded{Request: id, Attempt: 1, Result: outcome.Answered{Status: 200}, Wanted: true}, now)
 				}
 			})
 		}),
@@ -260,20 +260,20 @@
 }
 
 // gatewayWith is an entry host before a pool of n engines.
-func gatewayWith(n int, now time.Time) gateway.State {
+func gatewayWith(n int, now time.Time) requests.State {
 	g := routeTable(100)
 	g.Routes = append(g.Routes, config.Route{
 		Host: "a.example", Prefix: "/x/", Kind: config.RouteStream, Timeout: config.Duration(time.Minute),
 		Shares: []config.Share{{Pool: "pool", Weight: 1}}, MaxAttempts: 2,
 	})
 	g.Keys = []config.KeyOwner{{Account: "a", KeyHashes: []string{"k"}}}
-	s := gateway.New(gateway.Settings{Zone: "z"}).WithConfig(g)
+	s := requests.New(requests.Settings{Zone: "z"}).WithConfig(g)
 	workers := make([]registry.Worker, 0, n)
 	for i := range n {
 		workers = append(workers, registry.Worker{ID: ident.Target(fmt.Sprintf("i-%010x", i*7919)), Pool: "pool", Zone: "z", Address: "10.0.0.1:80", Slots: 64, Seq: 1})
 	}
-	s, _ = gateway.Reduce(s, gateway.Registered{From: "r", Workers: workers}, now)
-	s, _ = gateway.Reduce(s, gateway.Confirmed{AsOf: now}, now)
+	s, _ = requests.Reduce(s, requests.Registered{From: "r", Workers: workers}, now)
+	s, _ = requests.Reduce(s, requests.Confirmed{AsOf: now}, now)
 	return s
 }
 
--- a/core/host/earlier_test.go
+++ b/core/host/earlier_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/host"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 // delayed keeps the messages from one host, or to it, on their way until they are
@@ -52,7 +52,7 @@
 		for _, p := range kept {
 			f.reduce(p.to, host.Received{From: p.from, Message: p.message})
 		}
-		_, served := f.ask(entryName(0), "/x/1", "old").(gateway.Dispatch)
+		_, served := f.ask(entryName(0), "/x/1", "old").(requests.Dispatch)
 		require.False(t, served, "by an answer to the process before")
 	}
 }
--- a/core/host/effect.go
+++ b/core/host/effect.go
@@ -7,9 +7,9 @@
 
 	"github.com/yardhall/yardhall/core/catalog"
 	"github.com/yardhall/yardhall/core/config"
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/raft"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 // Effect is what the process must do. The set is closed.
@@ -68,8 +68,8 @@
 	}
 	// KnowHosts tells the transport where hosts listen.
 	KnowHosts struct{ Hosts []config.Host }
-	// Route carries out a decision of the gateway.
-	Route struct{ Decision gateway.Decision }
+	// RequestDecision carries out a decision of the gateway.
+	RequestDecision struct{ Decision requests.Decision }
 	// AnswerRead ends a Read; OK tells that the configuration held is the
 	// newest one.
 	AnswerRead struct {
@@ -94,7 +94,7 @@
 func (Note) effect()        {}
 func (LookUp) effect()      {}
 func (KnowHosts) effect()   {}
-func (Route) effect()       {}
+func (RequestDecision) effect()       {}
 func (AnswerRead) effect()  {}
 func (BeatAnswer) effect()  {}
 
--- a/core/host/event.go
+++ b/core/host/event.go
@@ -7,13 +7,13 @@
 
 	"github.com/yardhall/yardhall/core/catalog"
 	"github.com/yardhall/yardhall/core/config"
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/hash"
 	"github.com/yardhall/yardhall/core/health"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/outcome"
 	"github.com/yardhall/yardhall/core/raft"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 // Event is what a process reacts to. The set is closed.
@@ -66,8 +66,8 @@
 		Member raft.Member
 		Remove bool
 	}
-	// Routed is an event of the gateway.
-	Routed struct{ Event gateway.Event }
+	// RequestEvent is an event of the gateway.
+	RequestEvent struct{ Event requests.Event }
 	// Beaten is a worker's heartbeat. A BeatAnswer follows at once.
 	Beaten struct{ Worker registry.Worker }
 	// Left is a worker's word that it ends. A BeatAnswer follows at once.
@@ -92,7 +92,7 @@
 func (DiskSynced) event()    {}
 func (Drain) event()         {}
 func (ReplicaChange) event() {}
-func (Routed) event()        {}
+func (RequestEvent) event()        {}
 func (Beaten) event()        {}
 func (Left) event()          {}
 func (Read) event()          {}
--- a/core/host/follow.go
+++ b/core/host/follow.go
@@ -246,7 +246,7 @@
 	}
 	hostsMoved := t.config.Hosts != cfg.Hosts
 	t.config = cfg
-	t.gateway = t.gateway.WithConfig(cfg.Gateway)
+	t.requests = t.requests.WithConfig(cfg.Gateway)
 	t.noteNewest(cfg.Version)
 	t.rememberTable(cfg)
 	t.counters.ConfigApplied++
--- a/core/host/host.go
+++ b/core/host/host.go
@@ -18,11 +18,11 @@
 
 	"github.com/yardhall/yardhall/core/catalog"
 	"github.com/yardhall/yardhall/core/config"
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/health"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/raft"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 	"github.com/yardhall/yardhall/core/routing"
 	"github.com/yardhall/yardhall/core/table"
 )
@@ -64,8 +64,8 @@
 	// InForce is how long after its acknowledgement a route table is in force
 	// everywhere; 0 is the default.
 	InForce time.Duration
-	// Gateway are the bounds of the route table's requests.
-	Gateway gateway.Settings
+	// Requests are the bounds of the route table's requests.
+	Requests requests.Settings
 }
 
 // Seeded tells whether replicas are found through seeds.
@@ -153,7 +153,7 @@
 	// knows of those that sync with it.
 	sync     syncState
 	registry registry.Registry
-	gateway  gateway.State
+	requests  requests.State
 	reads    table.Table[string, pendingRead]
 	counters Counters
 }
@@ -192,7 +192,7 @@
 func New(s Settings, seed uint64, now time.Time) State {
 	return State{
 		settings: s, seed: seed, started: now, budget: maxBudget,
-		gateway: gateway.New(s.Gateway).WithStart(now),
+		requests: requests.New(s.Requests).WithStart(now),
 	}
 }
 
@@ -241,7 +241,7 @@
 		t.drain()
 	case ReplicaChange:
 		t.stepRaft(raft.ChangeMember{Member: ev.Member, Remove: ev.Remove})
-	case Routed:
+	case RequestEvent:
 		t.routed(ev.Event)
 	case Beaten:
 		t.beatHeard(ev.Worker)
--- a/core/host/hub.go
+++ b/core/host/hub.go
@@ -6,11 +6,11 @@
 	"slices"
 	"time"
 
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/hash"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/loads"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 	"github.com/yardhall/yardhall/core/table"
 )
 
@@ -203,7 +203,7 @@
 // knows, with revisions of its own, and the table from which others may follow.
 func (t *turn) serveAsHub() {
 	t.sync.hub.serves = true
-	for w := range t.gateway.Workers() {
+	for w := range t.requests.Workers() {
 		t.registry = t.registry.WithWord(w, t.now)
 	}
 	t.rememberTable(t.config)
@@ -214,7 +214,7 @@
 func (t *turn) hubWord(a SyncAnswer, asked Sync) SyncAnswer {
 	a.Leader, a.Hosts, a.Replicas = t.sync.lead, t.sync.hosts, t.sync.replicas
 	a.Cut = !t.replicaHeard(hubTimeout)
-	if confirmed := t.gateway.Confirmed(); !confirmed.IsZero() {
+	if confirmed := t.requests.Confirmed(); !confirmed.IsZero() {
 		a.Age = t.now.Sub(confirmed)
 		a.Fresh = a.Age < contactTimeout
 	}
@@ -242,7 +242,7 @@
 	case t.followsHubs() && to != t.home() && t.sync.hub.asked.Has(to):
 		return nil
 	}
-	return t.gateway.Loads()
+	return t.requests.Loads()
 }
 
 // toldLoads takes the requests of other hosts. A hub keeps them for its group, and
@@ -252,7 +252,7 @@
 		t.sync.hub.outside, t.sync.hub.outsideAt = told, asOf
 		told = t.sumLoads().others(t.settings.ID, told)
 	}
-	t.routed(gateway.LoadsTold{Loads: told, AsOf: asOf})
+	t.routed(requests.LoadsTold{Loads: told, AsOf: asOf})
 }
 
 // group are the hosts that this hub counts; changed tells whether they must be told
--- a/core/host/hub_test.go
+++ b/core/host/hub_test.go
@@ -10,10 +10,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/host"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 // largeFleet has enough entry hosts, in three zones, that replicas name hubs.
@@ -54,9 +54,9 @@
 		if f.down[id] || len(but) > 0 && but[0] == id {
 			continue
 		}
-		require.EqualValues(t, number, f.states[id].Gateway().Number(), "entry %d", i)
+		require.EqualValues(t, number, f.states[id].Requests().Number(), "entry %d", i)
 		require.True(t, f.states[id].Ready(), "entry %d", i)
-		require.IsType(t, gateway.Dispatch{}, f.ask(id, "/x/1", "k"), "entry %d", i)
+		require.IsType(t, requests.Dispatch{}, f.ask(id, "/x/1", "k"), "entry %d", i)
 	}
 }
 
@@ -116,7 +116,7 @@
 	f.beat(replicaName(2), "w1", registry.Draining, 2)
 	f.run(300 * time.Millisecond)
 	for i := range largeFleet {
-		d, ok := f.ask(entryName(i), "/x/1", "k").(gateway.Dispatch)
+		d, ok := f.ask(entryName(i), "/x/1", "k").(requests.Dispatch)
 		require.True(t, ok)
 		require.EqualValues(t, "w2", d.Worker.ID, "entry %d", i)
 	}
@@ -178,9 +178,9 @@
 			f.cut[[2]ident.Host{replicaName(r), entryName(i)}] = true
 		}
 	}
-	f.run(gateway.DefaultKeyLease)
+	f.run(requests.DefaultKeyLease)
 	for i := range largeFleet {
-		require.Equal(t, gateway.CodeStale, codeOf(t, f.ask(entryName(i), "/x/1", "k")), "entry %d", i)
+		require.Equal(t, requests.CodeStale, codeOf(t, f.ask(entryName(i), "/x/1", "k")), "entry %d", i)
 	}
 	clear(f.cut)
 	f.run(2 * time.Second)
@@ -222,7 +222,7 @@
 func TestLoadsAreToldThroughHubs(t *testing.T) {
 	f := startLarge(t, largeFleet)
 	for i := range largeFleet {
-		require.IsType(t, gateway.Dispatch{}, f.ask(entryName(i), "/x/1", "k"))
+		require.IsType(t, requests.Dispatch{}, f.ask(entryName(i), "/x/1", "k"))
 	}
 	f.run(3 * time.Second)
 	for i := range largeFleet {
@@ -271,7 +271,7 @@
 		require.LessOrEqual(t, n, 16, "%s", at)
 	}
 	for i := range entries {
-		_, known := f.states[entryName(i)].Gateway().Worker("w2")
+		_, known := f.states[entryName(i)].Requests().Worker("w2")
 		require.True(t, known, "entry %d", i)
 	}
 }
--- a/core/host/inforce.go
+++ b/core/host/inforce.go
@@ -104,7 +104,7 @@
 // graceTime is how long after it was told of an older table a silent host may hold an
 // acknowledgement up.
 func (t *turn) graceTime() time.Duration {
-	return max(0, t.gateway.KeyLease()-t.inForceTime()+forceMargin)
+	return max(0, t.requests.KeyLease()-t.inForceTime()+forceMargin)
 }
 
 // leaseAsked takes what a host says in a question of the tables in force there. An
@@ -124,7 +124,7 @@
 func (t *turn) forgetLeases() {
 	f := &t.sync.force
 	for id, l := range f.leases.All() {
-		if t.now.Sub(l.toldAt) >= t.gateway.KeyLease() {
+		if t.now.Sub(l.toldAt) >= t.requests.KeyLease() {
 			f.leases = f.leases.Without(id)
 		}
 	}
@@ -135,7 +135,7 @@
 func (t *turn) oldestInForce() config.Version {
 	oldest := t.config.Version
 	for _, l := range t.sync.force.leases.All() {
-		if l.inForce < oldest && t.now.Sub(l.olderTold(oldest)) < t.gateway.KeyLease() {
+		if l.inForce < oldest && t.now.Sub(l.olderTold(oldest)) < t.requests.KeyLease() {
 			oldest = l.inForce
 		}
 	}
--- a/core/host/inforce_test.go
+++ b/core/host/inforce_test.go
@@ -12,10 +12,10 @@
 
 	"github.com/yardhall/yardhall/core/catalog"
 	"github.com/yardhall/yardhall/core/config"
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/host"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 // inForceTime is the default time after an acknowledgement in which a table must be in
@@ -63,10 +63,10 @@
 // for what that table has brought.
 func (f *seededFleet) requireNothingOlder(t *testing.T, at ident.Host, number uint64, oldKey string) {
 	t.Helper()
-	_, served := f.ask(at, "/x/1", oldKey).(gateway.Dispatch)
+	_, served := f.ask(at, "/x/1", oldKey).(requests.Dispatch)
 	require.False(t, served, "%s serves a key that is gone", at)
-	if d, ok := f.ask(at, fmt.Sprintf("/only-%d/1", number), "new").(gateway.Finish); ok {
-		require.NotContains(t, []gateway.Code{gateway.CodeNoRoute, gateway.CodeBadKey}, d.Verdict.Code,
+	if d, ok := f.ask(at, fmt.Sprintf("/only-%d/1", number), "new").(requests.Finish); ok {
+		require.NotContains(t, []requests.Code{requests.CodeNoRoute, requests.CodeBadKey}, d.Verdict.Code,
 			"%s refuses what table %d has brought", at, number)
 	}
 }
@@ -91,7 +91,7 @@
 			require.True(t, f.put(f.leader(), f.table(1, "old"), time.Second))
 			f.beat(replicaName(1), "w1", registry.Ready, 1)
 			f.run(time.Second)
-			require.IsType(t, gateway.Dispatch{}, f.ask(entryName(0), "/x/1", "old"))
+			require.IsType(t, requests.Dispatch{}, f.ask(entryName(0), "/x/1", "old"))
 			f.silence(entryName(0))
 			to := f.leader()
 			if at == "follower" {
@@ -157,7 +157,7 @@
 						// It takes the place of none, so nobody serves by an older one.
 						break
 					}
-					require.EqualValues(t, number, f.states[entryName(i)].Gateway().Number(), "entry %d", i)
+					require.EqualValues(t, number, f.states[entryName(i)].Requests().Number(), "entry %d", i)
 				}
 				f.run(time.Second)
 			}
@@ -234,7 +234,7 @@
 		}
 		for i := range entries {
 			if id := entryName(i); !f.down[id] {
-				_, served := f.ask(id, "/x/1", fmt.Sprint("key-", n-1)).(gateway.Dispatch)
+				_, served := f.ask(id, "/x/1", fmt.Sprint("key-", n-1)).(requests.Dispatch)
 				require.False(t, served, "%s serves by a table before %d, %s after its acknowledgement", id, n, f.now.Sub(at))
 			}
 		}
@@ -252,7 +252,7 @@
 	require.True(t, f.put(f.leader(), g, time.Second))
 	f.beat(replicaName(1), "w1", registry.Ready, 1)
 	f.run(time.Second)
-	require.IsType(t, gateway.Dispatch{}, f.ask(entryName(0), "/x/1", ""))
+	require.IsType(t, requests.Dispatch{}, f.ask(entryName(0), "/x/1", ""))
 	f.hold = func(p seededPacket) time.Duration {
 		a, ok := p.message.(host.SyncAnswer)
 		if ok && p.to == entryName(0) && len(a.Gateway) > 0 {
@@ -263,6 +263,6 @@
 	id := f.submit(f.leader(), f.table(2, "k"))
 	f.runUntilAcked(t, id, 5*time.Second)
 	f.run(inForceTime)
-	require.Equal(t, gateway.CodeStale, codeOf(t, f.ask(entryName(0), "/x/1", "")))
+	require.Equal(t, requests.CodeStale, codeOf(t, f.ask(entryName(0), "/x/1", "")))
 	require.False(t, f.states[entryName(0)].Ready())
 }
--- a/core/host/lease_test.go
+++ b/core/host/lease_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 // leaseFleet is just large enough for hubs.
@@ -79,7 +79,7 @@
 				return
 			}
 			taken++
-			lease := f.now.Add(gateway.DefaultKeyLease)
+			lease := f.now.Add(requests.DefaultKeyLease)
 			for f.now.Before(lease.Add(4 * time.Second)) {
 				f.run(400 * time.Millisecond)
 				used += f.requireLease(t, lease)
@@ -101,7 +101,7 @@
 		if f.down[id] {
 			continue
 		}
-		if _, sent := f.ask(id, "/x/1", "k").(gateway.Dispatch); sent {
+		if _, sent := f.ask(id, "/x/1", "k").(requests.Dispatch); sent {
 			require.True(t, f.now.Before(lease), "entry %d uses the key at %s, the lease ended at %s", i, f.now, lease)
 			used++
 		}
--- a/core/host/loads_test.go
+++ b/core/host/loads_test.go
@@ -8,11 +8,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/host"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/outcome"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 // loadedFleet is a seeded fleet with a table and one worker.
@@ -29,10 +29,10 @@
 // counts its own and what the others have, and no less after some have ended.
 func TestLoadsOfAllHostsAreTold(t *testing.T) {
 	f := loadedFleet(t, 3, 3)
-	var sent []gateway.Dispatch
-	for i, requests := range []int{4, 3, 2} {
-		for range requests {
-			d, ok := f.ask(entryName(i), "/x/1", "k").(gateway.Dispatch)
+	var sent []requests.Dispatch
+	for i, running := range []int{4, 3, 2} {
+		for range running {
+			d, ok := f.ask(entryName(i), "/x/1", "k").(requests.Dispatch)
 			require.True(t, ok)
 			sent = append(sent, d)
 		}
@@ -42,7 +42,7 @@
 		require.Equal(t, 9, f.loadSeen(entryName(i)))
 	}
 	for _, d := range sent[:3] {
-		f.reduce(entryName(0), host.Routed{Event: gateway.AttemptEnded{
+		f.reduce(entryName(0), host.RequestEvent{Event: requests.AttemptEnded{
 			Request: d.Request, Attempt: d.Attempt, Result: outcome.Answered{Status: 200}, Wanted: true,
 		}})
 	}
@@ -53,9 +53,9 @@
 // loadSeen is what a host takes for the load of the worker before it sends it a
 // request, which ends at once.
 func (f *seededFleet) loadSeen(at ident.Host) int {
-	d, ok := f.ask(at, "/x/1", "k").(gateway.Dispatch)
+	d, ok := f.ask(at, "/x/1", "k").(requests.Dispatch)
 	require.True(f.t, ok)
-	f.reduce(at, host.Routed{Event: gateway.AttemptEnded{
+	f.reduce(at, host.RequestEvent{Event: requests.AttemptEnded{
 		Request: d.Request, Attempt: d.Attempt, Result: outcome.Answered{Status: 200}, Wanted: true,
 	}})
 	return d.Inputs.Load
--- a/core/host/neighbours.go
+++ b/core/host/neighbours.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"github.com/yardhall/yardhall/core/config"
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/hash"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 // An entry host that loses every replica may still reach other entry hosts. It asks
@@ -78,7 +78,7 @@
 
 // neighboursToAsk are the entry hosts to ask now; none while a leader is heard.
 func (t *turn) neighboursToAsk() []ident.Host {
-	confirmed := t.gateway.Confirmed()
+	confirmed := t.requests.Confirmed()
 	if confirmed.IsZero() || t.now.Sub(confirmed) < neighbourAfter || t.followsHubs() {
 		return nil
 	}
@@ -111,7 +111,7 @@
 	m.Cut = true
 	t.hearContact(from, m)
 	if workers, err := registry.Unpack(m.Workers); err == nil && len(workers) > 0 {
-		t.routed(gateway.Registered{From: from, Workers: workers})
+		t.routed(requests.Registered{From: from, Workers: workers})
 	}
 	if len(m.Gateway) > 0 && m.Version > t.config.Version {
 		t.takeGateway(m)
@@ -120,7 +120,7 @@
 	asked, known := t.sync.rounds.Get(m.Round)
 	t.sync.rounds = t.sync.rounds.Without(m.Round)
 	if known && m.Fresh && t.config.Version >= m.Version {
-		t.routed(gateway.Confirmed{AsOf: asked.Add(-m.Age)})
+		t.routed(requests.Confirmed{AsOf: asked.Add(-m.Age)})
 	}
 }
 
@@ -134,5 +134,5 @@
 	case t.sync.behindAt.IsZero():
 		t.sync.behindAt = t.now
 	}
-	t.gateway = t.gateway.WithBehind(!t.sync.behindAt.IsZero())
+	t.requests = t.requests.WithBehind(!t.sync.behindAt.IsZero())
 }
--- a/core/host/neighbours_test.go
+++ b/core/host/neighbours_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/host"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 // cutFromReplicas cuts an entry host off from all replicas, and from nothing else.
@@ -40,16 +40,16 @@
 func TestHostCutOffFromReplicasGoesOnByItsNeighbours(t *testing.T) {
 	f := newServingFleet(t, 5)
 	f.cutFromReplicas(entryName(0), true)
-	f.run(3 * gateway.DefaultKeyLease)
+	f.run(3 * requests.DefaultKeyLease)
 	require.True(t, f.states[entryName(0)].Ready())
-	require.IsType(t, gateway.Dispatch{}, f.ask(entryName(0), "/x/1", "k"))
+	require.IsType(t, requests.Dispatch{}, f.ask(entryName(0), "/x/1", "k"))
 	id := f.commit(f.leader(), f.table(2, "l"))
 	f.beat(replicaName(1), "w2", registry.Ready, 1)
 	f.beat(replicaName(0), "w1", registry.Draining, 2)
 	f.run(2 * time.Second)
 	require.True(t, f.acked(id))
-	require.Equal(t, gateway.CodeBadKey, codeOf(t, f.ask(entryName(0), "/x/1", "k")))
-	sent, ok := f.ask(entryName(0), "/x/1", "l").(gateway.Dispatch)
+	require.Equal(t, requests.CodeBadKey, codeOf(t, f.ask(entryName(0), "/x/1", "k")))
+	sent, ok := f.ask(entryName(0), "/x/1", "l").(requests.Dispatch)
 	require.True(t, ok)
 	require.EqualValues(t, "w2", sent.Worker.ID)
 	f.cutFromReplicas(entryName(0), false)
@@ -71,9 +71,9 @@
 	for i := range 5 {
 		f.cutFromReplicas(entryName(i), true)
 	}
-	f.run(gateway.DefaultKeyLease)
+	f.run(requests.DefaultKeyLease)
 	for i := range 5 {
-		require.Equal(t, gateway.CodeStale, codeOf(t, f.ask(entryName(i), "/x/1", "k")))
+		require.Equal(t, requests.CodeStale, codeOf(t, f.ask(entryName(i), "/x/1", "k")))
 	}
 }
 
@@ -116,11 +116,11 @@
 		}
 		require.True(rt, taken, "the table cannot be changed though all cuts are over")
 		since := f.now
-		for f.now.Sub(since) < gateway.DefaultKeyLease {
+		for f.now.Sub(since) < requests.DefaultKeyLease {
 			disturb()
 		}
 		for i := range 4 {
-			_, served := f.ask(entryName(i), "/x/1", "k").(gateway.Dispatch)
+			_, served := f.ask(entryName(i), "/x/1", "k").(requests.Dispatch)
 			if served {
 				rt.Fatalf("entry %d serves a key %s after it was taken away", i, f.now.Sub(since))
 			}
@@ -133,7 +133,7 @@
 func TestHostCutOffFromReplicasAcknowledgesNoHeartbeat(t *testing.T) {
 	f := newServingFleet(t, 5)
 	f.cutFromReplicas(entryName(0), true)
-	f.run(2 * gateway.DefaultKeyLease)
+	f.run(2 * requests.DefaultKeyLease)
 	require.True(t, f.states[entryName(0)].Ready())
 	f.beats = nil
 	f.beat(entryName(0), "w1", registry.Ready, 9)
@@ -157,7 +157,7 @@
 	f.run(2 * time.Second)
 	hub := f.anyHub(t)
 	f.cutFromReplicas(hub, true)
-	f.run(2 * gateway.DefaultKeyLease)
+	f.run(2 * requests.DefaultKeyLease)
 	require.True(t, f.states[hub].Ready())
 }
 
--- a/core/host/relay.go
+++ b/core/host/relay.go
@@ -136,7 +136,7 @@
 // known, and replicas will hear of it. A worker not known yet has just spoken to a
 // replica, whose word is under way.
 func (t *turn) mayRelay(w registry.Worker) bool {
-	known, ok := t.gateway.Worker(w.ID)
+	known, ok := t.requests.Worker(w.ID)
 	same := known.Pool == w.Pool && known.Address == w.Address && known.Zone == w.Zone && known.Slots == w.Slots
 	settled := known.State == registry.Ready || known.State == registry.Silent
 	return (!ok || same && settled) && w.State == registry.Ready && !t.draining && t.relayHasRoom(w.ID) && t.mayKeep(w.ID)
@@ -175,7 +175,7 @@
 	if _, heard := t.sync.relay.heard[id]; heard {
 		return true
 	}
-	return len(t.sync.relay.heard) < relayLeast+relayShare*t.gateway.KnownWorkers()/max(1, t.sync.hosts)
+	return len(t.sync.relay.heard) < relayLeast+relayShare*t.requests.KnownWorkers()/max(1, t.sync.hosts)
 }
 
 // replicaHeard tells whether any replica has answered within a time.
@@ -209,7 +209,7 @@
 	t.sync.relay.at = t.now
 	out := map[ident.Host][]registry.Worker{}
 	for id, w := range t.sync.relay.heard {
-		to := t.gateway.ToldBy(id)
+		to := t.requests.ToldBy(id)
 		if c, ok := t.sync.contacts.Get(to); !ok || c.lost || !slices.Contains(asked, to) {
 			to = t.beatSource()
 		}
--- a/core/host/relay_test.go
+++ b/core/host/relay_test.go
@@ -75,7 +75,7 @@
 func (f *relayedFleet) usableAt(at ident.Host) int {
 	n := 0
 	for i := range manyWorkers {
-		if w, ok := f.states[at].Gateway().Worker(workerName(i)); ok && w.State == registry.Ready {
+		if w, ok := f.states[at].Requests().Worker(workerName(i)); ok && w.State == registry.Ready {
 			n++
 		}
 	}
@@ -139,7 +139,7 @@
 	require.True(t, f.say(relay, host.Beaten{Worker: stranger}).Taken, "its first word to a replica may be under way")
 	f.run(3 * time.Second)
 	for i := range 2 {
-		w, ok := f.states[entryName(i)].Gateway().Worker("stranger")
+		w, ok := f.states[entryName(i)].Requests().Worker("stranger")
 		require.True(t, ok && w.State == registry.Ready, "or lost: then the relay's word brings it in")
 	}
 
@@ -193,7 +193,7 @@
 	require.Less(t, sent, entries*workers*40, "each host is sent each worker once")
 	for i := range entries {
 		for w := range workers {
-			_, ok := f.states[entryName(i)].Gateway().Worker(workerName(w))
+			_, ok := f.states[entryName(i)].Requests().Worker(workerName(w))
 			require.True(t, ok)
 		}
 	}
--- a/core/host/seeded_test.go
+++ b/core/host/seeded_test.go
@@ -12,11 +12,11 @@
 
 	"github.com/yardhall/yardhall/core/catalog"
 	"github.com/yardhall/yardhall/core/config"
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/host"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/raft"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 // seededDisk is what survives a stop of a replica.
@@ -60,7 +60,7 @@
 	wire    []seededPacket
 	writes  map[string]host.AnswerWrite
 	reads   map[string]bool
-	decided []gateway.Decision
+	decided []requests.Decision
 	starts  uint64
 	voters  int
 	// beats are the answers to workers.
@@ -126,7 +126,7 @@
 	f.starts++
 	s := host.Settings{
 		ID: id, Zone: f.zoneOf(id), Seeds: f.seeds, Incarnation: f.starts, Voters: f.voters, Serves: f.disks[id] == nil,
-		Gateway: gateway.Settings{Zone: f.zoneOf(id), StartTime: f.entryStart},
+		Requests: requests.Settings{Zone: f.zoneOf(id), StartTime: f.entryStart},
 	}
 	d := f.disks[id]
 	if d != nil {
@@ -178,7 +178,7 @@
 			f.writes[e.ID] = e
 		case host.AnswerRead:
 			f.reads[e.ID] = e.OK
-		case host.Route:
+		case host.RequestDecision:
 			f.decided = append(f.decided, e.Decision)
 		case host.BeatAnswer:
 			f.beats = append(f.beats, e)
@@ -286,10 +286,10 @@
 }
 
 // ask sends a request to an entry host and returns what was decided.
-func (f *seededFleet) ask(at ident.Host, path, key string) gateway.Decision {
+func (f *seededFleet) ask(at ident.Host, path, key string) requests.Decision {
 	f.starts++
 	f.decided = nil
-	f.reduce(at, host.Routed{Event: gateway.Arrived{Request: gateway.Request{
+	f.reduce(at, host.RequestEvent{Event: requests.Arrived{Request: requests.Request{
 		ID: ident.Request(fmt.Sprintf("r%d", f.starts)), Host: "a.example", Path: path, KeyHash: key,
 	}}})
 	require.Len(f.t, f.decided, 1)
@@ -302,9 +302,9 @@
 	}})
 }
 
-func codeOf(t *testing.T, d gateway.Decision) gateway.Code {
+func codeOf(t *testing.T, d requests.Decision) requests.Code {
 	t.Helper()
-	f, ok := d.(gateway.Finish)
+	f, ok := d.(requests.Finish)
 	require.True(t, ok, "%#v", d)
 	return f.Verdict.Code
 }
@@ -313,15 +313,15 @@
 	f := newSeededFleet(t, 3, 4)
 	f.run(5 * time.Second)
 	require.NotEmpty(t, f.leader())
-	require.Equal(t, gateway.CodeNotReady, codeOf(t, f.ask(entryName(0), "/x/1", "k")))
+	require.Equal(t, requests.CodeNotReady, codeOf(t, f.ask(entryName(0), "/x/1", "k")))
 	require.True(t, f.put(replicaName(2), f.table(3, "k"), time.Second))
 	f.beat(replicaName(1), "w1", registry.Ready, 1)
 	f.run(time.Second)
 	for i := range 4 {
 		require.True(t, f.states[entryName(i)].Ready())
-		require.IsType(t, gateway.Dispatch{}, f.ask(entryName(i), "/x/1", "k"))
-		require.Equal(t, gateway.CodeBadKey, codeOf(t, f.ask(entryName(i), "/x/1", "other")))
-		require.Equal(t, gateway.CodeNoRoute, codeOf(t, f.ask(entryName(i), "/y/1", "k")))
+		require.IsType(t, requests.Dispatch{}, f.ask(entryName(i), "/x/1", "k"))
+		require.Equal(t, requests.CodeBadKey, codeOf(t, f.ask(entryName(i), "/x/1", "other")))
+		require.Equal(t, requests.CodeNoRoute, codeOf(t, f.ask(entryName(i), "/y/1", "k")))
 	}
 }
 
@@ -339,7 +339,7 @@
 		require.Equal(t, "document 9", string(f.states[replicaName(i)].Config().Gateway.Source))
 	}
 	require.False(t, f.put(replicaName(0), config.RouteTable{Number: 12, Routes: []config.Route{{Host: "h"}}}, time.Second))
-	require.EqualValues(t, 9, f.states[entryName(0)].Gateway().Number())
+	require.EqualValues(t, 9, f.states[entryName(0)].Requests().Number())
 }
 
 // TestEntryLeavesAReplicaThatKnowsNoLeader cuts the replica that an entry host
@@ -360,7 +360,7 @@
 	id := f.commit(leader, f.table(2, "k"))
 	f.run(time.Second)
 	for i := range 4 {
-		require.EqualValues(t, 2, f.states[entryName(i)].Gateway().Number(), "entry %d", i)
+		require.EqualValues(t, 2, f.states[entryName(i)].Requests().Number(), "entry %d", i)
 		require.True(t, f.states[entryName(i)].Ready(), "entry %d", i)
 	}
 	require.True(t, f.acked(id))
@@ -376,15 +376,15 @@
 	f.run(time.Second)
 	f.cutOff(entryName(0), true)
 	f.run(seededStep)
-	require.IsType(t, gateway.Dispatch{}, f.ask(entryName(0), "/x/1", "k"))
+	require.IsType(t, requests.Dispatch{}, f.ask(entryName(0), "/x/1", "k"))
 	id := f.commit(f.leader(), f.table(2, "l"))
-	f.run(gateway.DefaultKeyLease)
+	f.run(requests.DefaultKeyLease)
 	require.True(t, f.acked(id))
-	require.Equal(t, gateway.CodeStale, codeOf(t, f.ask(entryName(0), "/x/1", "k")))
-	require.Equal(t, gateway.CodeBadKey, codeOf(t, f.ask(entryName(1), "/x/1", "k")))
+	require.Equal(t, requests.CodeStale, codeOf(t, f.ask(entryName(0), "/x/1", "k")))
+	require.Equal(t, requests.CodeBadKey, codeOf(t, f.ask(entryName(1), "/x/1", "k")))
 	f.cutOff(entryName(0), false)
 	f.run(time.Second)
-	require.Equal(t, gateway.CodeBadKey, codeOf(t, f.ask(entryName(0), "/x/1", "k")))
+	require.Equal(t, requests.CodeBadKey, codeOf(t, f.ask(entryName(0), "/x/1", "k")))
 }
 
 // TestWipedReplicaHasNoVote acknowledges by A and B, wipes A while B is dark
@@ -450,7 +450,7 @@
 	require.NotEmpty(t, f.leader(), "the newcomer does not vote")
 	require.True(t, f.put(replicaName(7), f.table(6, "k"), 2*time.Second))
 	f.run(time.Second)
-	require.EqualValues(t, 6, f.states[entryName(0)].Gateway().Number())
+	require.EqualValues(t, 6, f.states[entryName(0)].Requests().Number())
 }
 
 // TestReadIsConfirmedByTheNewestLeader cuts the leader off from the others: it
@@ -488,7 +488,7 @@
 	f.run(2 * seededStep)
 	for i := range 3 {
 		for range 8 {
-			d, ok := f.ask(entryName(i), "/x/1", "k").(gateway.Dispatch)
+			d, ok := f.ask(entryName(i), "/x/1", "k").(requests.Dispatch)
 			require.True(t, ok)
 			require.EqualValues(t, "w2", d.Worker.ID)
 		}
@@ -508,7 +508,7 @@
 	}
 	f.run(8 * time.Second)
 	require.True(t, f.states[entryName(0)].Ready())
-	require.IsType(t, gateway.Dispatch{}, f.ask(entryName(0), "/x/1", "k"))
+	require.IsType(t, requests.Dispatch{}, f.ask(entryName(0), "/x/1", "k"))
 }
 
 // TestVotersGrowFromTheSeeds starts six replicas that shall bear the loss of
@@ -531,7 +531,7 @@
 	}
 	require.True(t, f.put(f.leader(), f.table(2, "k"), time.Second))
 	f.run(time.Second)
-	require.EqualValues(t, 2, f.states[entryName(0)].Gateway().Number())
+	require.EqualValues(t, 2, f.states[entryName(0)].Requests().Number())
 }
 
 // TestReplicaThatWasPutOutComesBack cuts a replica without a vote off until the
@@ -557,7 +557,7 @@
 	require.True(t, f.states[f.leader()].Raft().IsMember(learner))
 	f.beat(at, "w1", registry.Ready, 1)
 	f.run(time.Second)
-	require.IsType(t, gateway.Dispatch{}, f.ask(entryName(0), "/x/1", "k"))
+	require.IsType(t, requests.Dispatch{}, f.ask(entryName(0), "/x/1", "k"))
 }
 
 // TestSlowWriteStandsOnceInTheLog lets no follower answer for a while: a write
@@ -615,9 +615,9 @@
 	f.run(2 * time.Second)
 	require.False(t, f.states[entryName(0)].Ready())
 	require.True(t, f.states[entryName(1)].Ready())
-	require.IsType(t, gateway.Dispatch{}, f.ask(entryName(0), "/x/1", "k"))
-	f.run(gateway.DefaultKeyLease)
-	require.True(t, f.ask(entryName(0), "/x/1", "k").(gateway.Finish).Verdict.Elsewhere)
+	require.IsType(t, requests.Dispatch{}, f.ask(entryName(0), "/x/1", "k"))
+	f.run(requests.DefaultKeyLease)
+	require.True(t, f.ask(entryName(0), "/x/1", "k").(requests.Finish).Verdict.Elsewhere)
 	f.cutOff(entryName(0), false)
 	f.run(time.Second)
 	require.True(t, f.states[entryName(0)].Ready())
--- a/core/host/sync.go
+++ b/core/host/sync.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"github.com/yardhall/yardhall/core/config"
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/hash"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/loads"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 	"github.com/yardhall/yardhall/core/table"
 )
 
@@ -140,12 +140,12 @@
 		t.maybeCompact()
 	}
 	t.tickHub()
-	if t.gateway.Waiting() > 0 {
-		t.routed(gateway.Tick{})
+	if t.requests.Waiting() > 0 {
+		t.routed(requests.Tick{})
 	}
-	ready := t.gateway.Ready(t.now, t.leaveAhead())
+	ready := t.requests.Ready(t.now, t.leaveAhead())
 	if ready != t.ready {
-		t.note(NoteReady, string(t.settings.ID), fmt.Sprintf("ready=%t version=%d gateway=%d", ready, t.config.Version, t.gateway.Number()))
+		t.note(NoteReady, string(t.settings.ID), fmt.Sprintf("ready=%t version=%d gateway=%d", ready, t.config.Version, t.requests.Number()))
 	}
 	t.ready = ready
 }
@@ -158,7 +158,7 @@
 // ready, so that no new connection meets a refusal. Three questions may go without a
 // leader's word before.
 func (t *turn) leaveAhead() time.Duration {
-	return min(balancerNotice, max(0, t.gateway.KeyLease()-leadTimeout*t.syncInterval()))
+	return min(balancerNotice, max(0, t.requests.KeyLease()-leadTimeout*t.syncInterval()))
 }
 
 // contactHosts are the addresses of seeds and members.
--- a/core/host/syncanswer.go
+++ b/core/host/syncanswer.go
@@ -9,9 +9,9 @@
 	"github.com/pkg/errors"
 
 	"github.com/yardhall/yardhall/core/config"
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 // syncAnswered takes what a replica or a hub told.
@@ -22,7 +22,7 @@
 	}
 	t.hearContact(from, m)
 	if workers, err := registry.Unpack(m.Workers); err == nil && len(workers) > 0 {
-		t.routed(gateway.Registered{From: from, Workers: workers})
+		t.routed(requests.Registered{From: from, Workers: workers})
 		t.heardAsHub(workers)
 	}
 	t.takeHubs(m)
@@ -48,12 +48,12 @@
 	t.noteNewest(m.Version)
 	if m.Hosts > 0 {
 		t.sync.hosts = m.Hosts
-		t.gateway = t.gateway.WithHosts(m.Hosts)
+		t.requests = t.requests.WithHosts(m.Hosts)
 	}
 	if known && t.config.Version >= m.Version {
 		// A hub's word is counted from before this host asked, so that a hub that
 		// is held up makes it older and never younger.
-		t.routed(gateway.Confirmed{AsOf: asked.Add(-m.Age)})
+		t.routed(requests.Confirmed{AsOf: asked.Add(-m.Age)})
 	}
 }
 
@@ -123,18 +123,18 @@
 }
 
 // routed feeds the gateway and carries out what it decides.
-func (t *turn) routed(ev gateway.Event) {
-	next, decisions := gateway.Reduce(t.gateway, ev, t.now)
-	t.gateway = next
+func (t *turn) routed(ev requests.Event) {
+	next, decisions := requests.Reduce(t.requests, ev, t.now)
+	t.requests = next
 	for _, d := range decisions {
 		switch d := d.(type) {
-		case gateway.Believed:
+		case requests.Believed:
 			t.note(NoteWorker, string(d.Worker.ID), fmt.Sprintf("usable=%t state=%s seq=%d at=%s failures=%d why=%q",
 				d.Usable, d.Worker.State, d.Worker.Seq, d.Worker.Address, d.Failures, d.Why))
-		case gateway.ZoneBelieved:
+		case requests.ZoneBelieved:
 			t.note(NoteZone, string(d.Zone), fmt.Sprintf("reached=%t others=%t missed=%s", d.Reached, d.Others, d.Missed))
 		default:
-			t.emit(Route{Decision: d})
+			t.emit(RequestDecision{Decision: d})
 		}
 	}
 }
--- a/core/host/syncreplica.go
+++ b/core/host/syncreplica.go
@@ -224,7 +224,7 @@
 		next.parts[id] = c.loads
 	}
 	if t.settings.Serves {
-		next.parts[t.settings.ID] = t.gateway.Loads()
+		next.parts[t.settings.ID] = t.requests.Loads()
 	}
 	next.serving = len(t.entryHosts())
 	next.total = loads.Sum(maps.Values(next.parts))
--- a/core/host/view.go
+++ b/core/host/view.go
@@ -8,11 +8,11 @@
 
 	"github.com/yardhall/yardhall/core/catalog"
 	"github.com/yardhall/yardhall/core/config"
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/health"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/raft"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 	"github.com/yardhall/yardhall/core/routing"
 )
 
@@ -32,10 +32,10 @@
 func (s State) Draining() bool { return s.draining }
 
 // Idle tells whether no request is in flight here.
-func (s State) Idle() bool { return s.calls.Len() == 0 && s.gateway.Idle() }
+func (s State) Idle() bool { return s.calls.Len() == 0 && s.requests.Idle() }
 
-// Gateway returns the route table's part of this host.
-func (s State) Gateway() gateway.State { return s.gateway }
+// Requests returns the route table's part of this host.
+func (s State) Requests() requests.State { return s.requests }
 
 // ReplicaHosts are the addresses at which replicas of a seeded fleet are found: the
 // members as this replica knows them, and the seeds.
@@ -226,7 +226,7 @@
 func (s State) dumpSync() *DumpSync {
 	d := &DumpSync{
 		Hosts: s.sync.hosts, Asks: s.sync.hub.askedLast, Serves: s.settings.IsReplica() || s.sync.hub.serves,
-		Askers: s.sync.clients.Len(), ConfirmedAt: s.gateway.Confirmed(), Workers: s.gateway.KnownWorkers(),
+		Askers: s.sync.clients.Len(), ConfirmedAt: s.requests.Confirmed(), Workers: s.requests.KnownWorkers(),
 	}
 	for _, h := range s.sync.hub.list {
 		d.Hubs = append(d.Hubs, h.Host)
--- a/core/gateway/bench_test.go
+++ b/core/requests/bench_test.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
 
-package gateway_test
+package requests_test
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 	"time"
 
 	"github.com/yardhall/yardhall/core/config"
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/outcome"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 // BenchmarkRequest is one request of the route table, from its arrival to its
@@ -20,7 +20,7 @@
 	for _, size := range []int{9, 144, 910} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			now := time.Unix(1000, 0)
-			s := gateway.New(gateway.Settings{Zone: "z"}).WithConfig(config.RouteTable{
+			s := requests.New(requests.Settings{Zone: "z"}).WithConfig(config.RouteTable{
 				Number: 1, Pools: []config.Pool{{ID: "pool", Engine: true, Moves: true}},
 				Routes: []config.Route{{
 					Host: "a.example", Prefix: "/x/", Kind: config.RouteStream, Timeout: config.Duration(time.Minute),
@@ -33,16 +33,16 @@
 					ID: ident.Target(fmt.Sprintf("i-%010x", i*7919)), Pool: "pool", Zone: "z", Address: "10.0.0.1:80", Slots: 64, Seq: 1,
 				})
 			}
-			s, _ = gateway.Reduce(s, gateway.Registered{From: "r", Workers: workers}, now)
-			s, _ = gateway.Reduce(s, gateway.Confirmed{AsOf: now}, now)
+			s, _ = requests.Reduce(s, requests.Registered{From: "r", Workers: workers}, now)
+			s, _ = requests.Reduce(s, requests.Confirmed{AsOf: now}, now)
 			for i := 0; b.Loop(); i++ {
 				id := ident.Request(fmt.Sprintf("r%d", i))
-				s, _ = gateway.Reduce(s, gateway.Arrived{Request: gateway.Request{
-					ID: id, Host: "a.example", Path: "/x/y", Prompt: gateway.Prompt{Model: "m", Parts: []gateway.Part{
+				s, _ = requests.Reduce(s, requests.Arrived{Request: requests.Request{
+					ID: id, Host: "a.example", Path: "/x/y", Prompt: requests.Prompt{Model: "m", Parts: []requests.Part{
 						{ID: "system", Tokens: 500}, {ID: fmt.Sprint(i % 30), Tokens: 9000}, {ID: "own", Tokens: 900},
 					}},
 				}}, now)
-				s, _ = gateway.Reduce(s, gateway.AttemptEnded{Request: id, Attempt: 1, Result: outcome.Answered{Status: 200}, Wanted: true}, now)
+				s, _ = requests.Reduce(s, requests.AttemptEnded{Request: id, Attempt: 1, Result: outcome.Answered{Status: 200}, Wanted: true}, now)
 			}
 		})
 	}
--- a/core/gateway/event.go
+++ b/core/requests/event.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
 
-package gateway
+package requests
 
 import (
 	"time"
--- a/core/gateway/patience_test.go
+++ b/core/requests/patience_test.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
 
-package gateway_test
+package requests_test
 
 import (
 	"fmt"
@@ -9,22 +9,22 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/outcome"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 // answer feeds a request whose answer begins after a time, and ends it.
-func answer(t *testing.T, s gateway.State, id, path string, head time.Duration) gateway.State {
+func answer(t *testing.T, s requests.State, id, path string, head time.Duration) requests.State {
 	t.Helper()
 	s, d := arrive(t, s, request(id, path), start)
-	sent := d.(gateway.Dispatch)
-	s, _ = gateway.Reduce(s, gateway.HeadReceived{Worker: sent.Worker.ID, Route: sent.Route.Name, Took: head}, start)
-	s, _ = gateway.Reduce(s, gateway.AttemptEnded{Request: sent.Request, Attempt: sent.Attempt, Result: outcome.Answered{Status: 200}, Wanted: true}, start)
+	sent := d.(requests.Dispatch)
+	s, _ = requests.Reduce(s, requests.HeadReceived{Worker: sent.Worker.ID, Route: sent.Route.Name, Took: head}, start)
+	s, _ = requests.Reduce(s, requests.AttemptEnded{Request: sent.Request, Attempt: sent.Attempt, Result: outcome.Answered{Status: 200}, Wanted: true}, start)
 	return s
 }
 
 // learned returns a gateway on which many answers of a route began after about a time.
-func learned(t *testing.T, path string, head time.Duration) gateway.State {
+func learned(t *testing.T, path string, head time.Duration) requests.State {
 	s := ready(4)
 	for i := range 60 {
 		s = answer(t, s, fmt.Sprint("learn-", i), path, head+head*time.Duration(i%5)/20)
@@ -38,7 +38,7 @@
 	s := ready(4)
 	for path, want := range map[string]time.Duration{"/resumable/x": 250 * time.Millisecond, "/safe/x": 250 * time.Millisecond, "/once/x": 0, "/unsafe/x": 0} {
 		_, d := arrive(t, s, request("1", path), start)
-		require.Equal(t, want, d.(gateway.Dispatch).HeadWait, path)
+		require.Equal(t, want, d.(requests.Dispatch).HeadWait, path)
 	}
 }
 
@@ -49,37 +49,37 @@
 	s := learned(t, "/resumable/x", 50*time.Millisecond)
 	moved, stayed := 0, 0
 	for i := range 300 {
-		var d gateway.Decision
+		var d requests.Decision
 		s, d = arrive(t, s, request(fmt.Sprint(i), "/resumable/x"), start)
-		sent := d.(gateway.Dispatch)
-		next, decisions := gateway.Reduce(s, gateway.HeadLate{Request: sent.Request, Attempt: 1, Waited: sent.HeadWait}, start)
+		sent := d.(requests.Dispatch)
+		next, decisions := requests.Reduce(s, requests.HeadLate{Request: sent.Request, Attempt: 1, Waited: sent.HeadWait}, start)
 		s = next
 		if len(decisions) == 0 {
 			stayed++
 			continue
 		}
-		require.Equal(t, gateway.GiveUp{Request: sent.Request}, only(t, decisions))
-		next, decisions = gateway.Reduce(s, gateway.AttemptEnded{Request: sent.Request, Attempt: 1, Result: outcome.Broken{Silent: true}, Wanted: true}, start)
+		require.Equal(t, requests.GiveUp{Request: sent.Request}, only(t, decisions))
+		next, decisions = requests.Reduce(s, requests.AttemptEnded{Request: sent.Request, Attempt: 1, Result: outcome.Broken{Silent: true}, Wanted: true}, start)
 		s = next
-		again, ok := only(t, decisions).(gateway.Dispatch)
+		again, ok := only(t, decisions).(requests.Dispatch)
 		require.True(t, ok, "request %d was given up with no other worker to go to", i)
 		require.NotEqual(t, sent.Worker.ID, again.Worker.ID)
 		moved++
 	}
 	require.Positive(t, moved)
 	require.Positive(t, stayed)
-	require.LessOrEqual(t, float64(moved), gateway.DefaultRetryExtra+gateway.DefaultRetryShare*360)
+	require.LessOrEqual(t, float64(moved), requests.DefaultRetryExtra+requests.DefaultRetryShare*360)
 }
 
 // TestPausesFollowTheUsualTimes has a worker decline after fast answers, after slow ones
 // and after ones that were no longer waited for: the pause before it is asked again grows.
 func TestPausesFollowTheUsualTimes(t *testing.T) {
-	pause := func(s gateway.State) time.Duration {
+	pause := func(s requests.State) time.Duration {
 		s, d := arrive(t, s, request("now", "/unsafe/x"), start)
-		_, d = decline(t, s, d.(gateway.Dispatch), start)
-		return d.(gateway.Dispatch).Pause
+		_, d = decline(t, s, d.(requests.Dispatch), start)
+		return d.(requests.Dispatch).Pause
 	}
-	taught := func(head time.Duration) gateway.State {
+	taught := func(head time.Duration) requests.State {
 		s := withObjective()
 		for i := range 40 {
 			s = answer(t, s, fmt.Sprint("learn-", i), "/unsafe/x", head)
--- a/core/gateway/reach_test.go
+++ b/core/requests/reach_test.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
 
-package gateway_test
+package requests_test
 
 import (
 	"fmt"
@@ -9,16 +9,16 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/outcome"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 // zonedGateway is the gateway of a host in zone z, with workers of three zones.
 type zonedGateway struct {
 	t     *testing.T
-	state gateway.State
+	state requests.State
 	now   time.Time
 	zones map[ident.Target]ident.Zone
 	next  int
@@ -40,20 +40,20 @@
 			g.zones[w.ID] = zone
 		}
 	}
-	g.state, _ = gateway.Reduce(g.state, gateway.Registered{From: "r", Workers: all}, g.now)
+	g.state, _ = requests.Reduce(g.state, requests.Registered{From: "r", Workers: all}, g.now)
 	return g
 }
 
 // feed reduces an event and returns what becomes of its request.
-func (g *zonedGateway) feed(ev gateway.Event) gateway.Decision {
-	var decisions []gateway.Decision
-	g.state, decisions = gateway.Reduce(g.state, ev, g.now)
-	var out gateway.Decision
+func (g *zonedGateway) feed(ev requests.Event) requests.Decision {
+	var decisions []requests.Decision
+	g.state, decisions = requests.Reduce(g.state, ev, g.now)
+	var out requests.Decision
 	for _, d := range decisions {
 		switch d := d.(type) {
-		case gateway.Reconnect:
+		case requests.Reconnect:
 			g.probes = append(g.probes, d.Worker)
-		case gateway.Dispatch, gateway.Finish:
+		case requests.Dispatch, requests.Finish:
 			out = d
 		}
 	}
@@ -61,12 +61,12 @@
 }
 
 // ask has a request arrive, each with a prompt of its own.
-func (g *zonedGateway) ask() gateway.Dispatch {
+func (g *zonedGateway) ask() requests.Dispatch {
 	g.next++
-	g.feed(gateway.Confirmed{AsOf: g.now})
+	g.feed(requests.Confirmed{AsOf: g.now})
 	r := request(fmt.Sprintf("r%d", g.next), "/resumable/x")
 	r.Prompt = prompt(fmt.Sprint("subject-", g.next))
-	d, ok := g.feed(gateway.Arrived{Request: r}).(gateway.Dispatch)
+	d, ok := g.feed(requests.Arrived{Request: r}).(requests.Dispatch)
 	require.True(g.t, ok)
 	return d
 }
@@ -82,8 +82,8 @@
 				result = g.silence()
 			}
 		}
-		next := g.feed(gateway.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, Wanted: true})
-		again, ok := next.(gateway.Dispatch)
+		next := g.feed(requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, Wanted: true})
+		again, ok := next.(requests.Dispatch)
 		if !ok {
 			return tries
 		}
@@ -119,10 +119,10 @@
 	require.NotEmpty(t, g.probes)
 	for _, w := range g.probes {
 		require.EqualValues(t, "y", w.Zone)
-		g.feed(gateway.Reached{Worker: w.ID})
+		g.feed(requests.Reached{Worker: w.ID})
 	}
 	require.LessOrEqual(t, len(g.probes), 5, "connections without a request are few")
-	g.feed(gateway.Reached{Worker: g.probes[0].ID, OK: true})
+	g.feed(requests.Reached{Worker: g.probes[0].ID, OK: true})
 	used := map[ident.Zone]int{}
 	for range 90 {
 		d := g.ask()
@@ -158,10 +158,10 @@
 		} else if g.zones[d.Worker.ID] == "y" {
 			others++
 		}
-		g.feed(gateway.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, Wanted: false})
+		g.feed(requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, Wanted: false})
 		g.now = g.now.Add(10 * time.Millisecond)
 		for _, w := range g.probes {
-			g.feed(gateway.Reached{Worker: w.ID, OK: !dark[w.ID]})
+			g.feed(requests.Reached{Worker: w.ID, OK: !dark[w.ID]})
 		}
 		g.probes = nil
 	}
@@ -174,7 +174,7 @@
 	g := newZoned(t, 4)
 	for range 40 {
 		d := g.ask()
-		g.feed(gateway.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: outcome.NeverSent{Reason: "refused"}, Wanted: false})
+		g.feed(requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: outcome.NeverSent{Reason: "refused"}, Wanted: false})
 		g.now = g.now.Add(10 * time.Millisecond)
 	}
 	g.now = g.now.Add(time.Minute)
--- a/core/gateway/gateway.go
+++ b/core/requests/requests.go
@@ -6,12 +6,12 @@
 //
 // # Usage
 //
-//	s := gateway.New(gateway.Settings{Zone: "hall-a"})
+//	s := requests.New(requests.Settings{Zone: "hall-a"})
 //	s = s.WithConfig(cfg.Gateway)
-//	s, decisions := gateway.Reduce(s, gateway.Arrived{Request: r}, now)
+//	s, decisions := requests.Reduce(s, requests.Arrived{Request: r}, now)
 //
 // Every event that ends a try or a request yields exactly one decision for it.
-package gateway
+package requests
 
 import (
 	"iter"
--- a/core/gateway/gateway_test.go
+++ b/core/requests/requests_test.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
 
-package gateway_test
+package requests_test
 
 import (
 	"fmt"
@@ -11,10 +11,10 @@
 	"pgregory.net/rapid"
 
 	"github.com/yardhall/yardhall/core/config"
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/outcome"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 var start = time.Unix(9000, 0)
@@ -50,22 +50,22 @@
 }
 
 // ready returns a gateway with a confirmed table and n workers in each pool.
-func ready(n int) gateway.State {
-	s := gateway.New(gateway.Settings{Zone: "z"}).WithConfig(table()).WithHosts(1)
-	s, _ = gateway.Reduce(s, gateway.Registered{From: "r", Workers: append(workers("plain", n), workers("engines", n)...)}, start)
-	s, _ = gateway.Reduce(s, gateway.Confirmed{AsOf: start}, start)
+func ready(n int) requests.State {
+	s := requests.New(requests.Settings{Zone: "z"}).WithConfig(table()).WithHosts(1)
+	s, _ = requests.Reduce(s, requests.Registered{From: "r", Workers: append(workers("plain", n), workers("engines", n)...)}, start)
+	s, _ = requests.Reduce(s, requests.Confirmed{AsOf: start}, start)
 	return s
 }
 
-func request(id, path string) gateway.Request {
-	return gateway.Request{ID: ident.Request(id), Host: "a.example", Path: path, KeyHash: "key"}
+func request(id, path string) requests.Request {
+	return requests.Request{ID: ident.Request(id), Host: "a.example", Path: path, KeyHash: "key"}
 }
 
 // only returns the one decision on a request, beside what is noted of workers.
-func only(t require.TestingT, decisions []gateway.Decision) gateway.Decision {
-	var out []gateway.Decision
+func only(t require.TestingT, decisions []requests.Decision) requests.Decision {
+	var out []requests.Decision
 	for _, d := range decisions {
-		if _, note := d.(gateway.Believed); !note {
+		if _, note := d.(requests.Believed); !note {
 			out = append(out, d)
 		}
 	}
@@ -73,55 +73,55 @@
 	return out[0]
 }
 
-func arrive(t require.TestingT, s gateway.State, r gateway.Request, now time.Time) (gateway.State, gateway.Decision) {
-	s, d := gateway.Reduce(s, gateway.Arrived{Request: r}, now)
+func arrive(t require.TestingT, s requests.State, r requests.Request, now time.Time) (requests.State, requests.Decision) {
+	s, d := requests.Reduce(s, requests.Arrived{Request: r}, now)
 	return s, only(t, d)
 }
 
 func TestRouteWithTheLongestPrefixWins(t *testing.T) {
 	s := ready(2)
 	_, d := arrive(t, s, request("1", "/safe/deeper/x"), start)
-	require.Equal(t, "deeper", d.(gateway.Dispatch).Route.Name)
+	require.Equal(t, "deeper", d.(requests.Dispatch).Route.Name)
 	_, d = arrive(t, s, request("2", "/safe/x"), start)
-	require.Equal(t, "safe", d.(gateway.Dispatch).Route.Name)
+	require.Equal(t, "safe", d.(requests.Dispatch).Route.Name)
 	_, d = arrive(t, s, request("3", "/none/x"), start)
-	require.Equal(t, gateway.CodeNoRoute, d.(gateway.Finish).Verdict.Code)
+	require.Equal(t, requests.CodeNoRoute, d.(requests.Finish).Verdict.Code)
 }
 
 func TestAccountOfTheKeyAndItsRankReachTheWorker(t *testing.T) {
 	_, d := arrive(t, ready(2), request("1", "/resumable/x"), start)
-	require.EqualValues(t, "halls", d.(gateway.Dispatch).Account)
-	require.Equal(t, 4, d.(gateway.Dispatch).Rank)
+	require.EqualValues(t, "halls", d.(requests.Dispatch).Account)
+	require.Equal(t, 4, d.(requests.Dispatch).Rank)
 }
 
 // TestNothingIsRefusedForGoodOnStaleKnowledge lets the confirmation grow old:
 // what would be 401 or 404 becomes a refusal for the moment, and so does a
 // request with a key; a public route goes on.
 func TestNothingIsRefusedForGoodOnStaleKnowledge(t *testing.T) {
-	s, later := ready(2), start.Add(gateway.DefaultKeyLease)
+	s, later := ready(2), start.Add(requests.DefaultKeyLease)
 	bad := request("2", "/safe/x")
 	bad.KeyHash = "other"
-	for i, r := range []gateway.Request{request("1", "/none/x"), bad, request("3", "/safe/x")} {
+	for i, r := range []requests.Request{request("1", "/none/x"), bad, request("3", "/safe/x")} {
 		_, d := arrive(t, s, r, later)
-		v := d.(gateway.Finish).Verdict
-		require.Equal(t, gateway.CodeStale, v.Code, "request %d", i)
+		v := d.(requests.Finish).Verdict
+		require.Equal(t, requests.CodeStale, v.Code, "request %d", i)
 		require.Equal(t, outcome.NotRun, v.Outcome)
 		require.Positive(t, v.RetryAfter)
 	}
 	open := request("4", "/safe/deeper/x")
 	open.KeyHash = ""
 	_, d := arrive(t, s, open, later)
-	require.IsType(t, gateway.Dispatch{}, d)
+	require.IsType(t, requests.Dispatch{}, d)
 }
 
 func TestTimeoutBoundsTheDeadline(t *testing.T) {
 	r := request("1", "/safe/x")
 	r.Deadline = start.Add(time.Hour)
 	_, d := arrive(t, ready(1), r, start)
-	require.Equal(t, start.Add(time.Second), d.(gateway.Dispatch).Deadline)
+	require.Equal(t, start.Add(time.Second), d.(requests.Dispatch).Deadline)
 	r.Deadline = start.Add(time.Millisecond)
 	_, d = arrive(t, ready(1), r, start)
-	require.Equal(t, start.Add(time.Millisecond), d.(gateway.Dispatch).Deadline)
+	require.Equal(t, start.Add(time.Millisecond), d.(requests.Dispatch).Deadline)
 }
 
 // TestOutcomesAreProved draws how tries end, for each kind of route, and checks
@@ -135,7 +135,7 @@
 		s, d := arrive(t, s, request("1", path), now)
 		mayHaveRun, reached := false, 0
 		for {
-			dispatch, ok := d.(gateway.Dispatch)
+			dispatch, ok := d.(requests.Dispatch)
 			if !ok {
 				break
 			}
@@ -160,11 +160,11 @@
 				}
 			}
 			now = now.Add(time.Millisecond)
-			var decisions []gateway.Decision
-			s, decisions = gateway.Reduce(s, gateway.AttemptEnded{Request: "1", Attempt: dispatch.Attempt, Result: result, Wanted: true}, now)
+			var decisions []requests.Decision
+			s, decisions = requests.Reduce(s, requests.AttemptEnded{Request: "1", Attempt: dispatch.Attempt, Result: result, Wanted: true}, now)
 			d = only(t, decisions)
 		}
-		verdict := d.(gateway.Finish).Verdict
+		verdict := d.(requests.Finish).Verdict
 		if mayHaveRun {
 			require.NotEqual(t, outcome.NotRun, verdict.Outcome)
 		} else {
@@ -178,32 +178,32 @@
 // TestRetriesStayWithinTheBudget lets every try fail: what is sent once more
 // stays within the share of requests and the host's part of the extra ones.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
-	const requests, hosts = 400, 4
+	const total, hosts = 400, 4
 	s, now := ready(8).WithHosts(hosts), start
 	dispatched := 0
-	for i := range requests {
+	for i := range total {
 		id := fmt.Sprintf("r%d", i)
-		var d gateway.Decision
+		var d requests.Decision
 		s, d = arrive(t, s, request(id, "/safe/x"), now)
 		for {
-			dispatch, ok := d.(gateway.Dispatch)
+			dispatch, ok := d.(requests.Dispatch)
 			if !ok {
 				break
 			}
 			dispatched++
-			var decisions []gateway.Decision
-			s, decisions = gateway.Reduce(s, gateway.AttemptEnded{
+			var decisions []requests.Decision
+			s, decisions = requests.Reduce(s, requests.AttemptEnded{
 				Request: ident.Request(id), Attempt: dispatch.Attempt, Result: outcome.Answered{Status: 500}, Wanted: true,
 			}, now)
 			d = only(t, decisions)
 		}
 	}
-	require.LessOrEqual(t, float64(dispatched-requests), gateway.DefaultRetryShare*requests+gateway.DefaultRetryExtra/hosts+1)
-	require.Greater(t, dispatched, requests)
+	require.LessOrEqual(t, float64(dispatched-total), requests.DefaultRetryShare*total+requests.DefaultRetryExtra/hosts+1)
+	require.Greater(t, dispatched, total)
 }
 
-func prompt(subject string) gateway.Prompt {
-	return gateway.Prompt{Model: "m", Parts: []gateway.Part{
+func prompt(subject string) requests.Prompt {
+	return requests.Prompt{Model: "m", Parts: []requests.Part{
 		{ID: "system", Tokens: 500}, {ID: subject, Tokens: 10000}, {ID: "own", Tokens: 300},
 	}}
 }
@@ -215,14 +215,14 @@
 	const engines = 6
 	s, now := ready(engines), start
 	load := map[ident.Target]int{}
-	var home gateway.Dispatch
+	var home requests.Dispatch
 	for i := range 60 {
 		r := request(fmt.Sprintf("r%d", i), "/resumable/x")
 		r.Prompt = prompt("one")
 		r.Deadline = start.Add(time.Hour)
-		var d gateway.Decision
+		var d requests.Decision
 		s, d = arrive(t, s, r, now)
-		dispatch := d.(gateway.Dispatch)
+		dispatch := d.(requests.Dispatch)
 		if i == 0 {
 			home = dispatch
 		}
@@ -231,7 +231,7 @@
 		}
 		load[dispatch.Worker.ID]++
 		mean := float64(i) / engines
-		require.LessOrEqual(t, float64(load[dispatch.Worker.ID]), gateway.DefaultLoadFactor*mean+gateway.DefaultLoadSlack+1)
+		require.LessOrEqual(t, float64(load[dispatch.Worker.ID]), requests.DefaultLoadFactor*mean+requests.DefaultLoadSlack+1)
 	}
 	require.Greater(t, load[home.Worker.ID], 60/engines, "the first engine takes what the bound allows")
 }
@@ -243,7 +243,7 @@
 			r := request(fmt.Sprintf("h%d-s%d", host, subject), "/resumable/x")
 			r.Prompt = prompt(fmt.Sprint("subject", subject))
 			_, d := arrive(t, ready(5), r, start)
-			id := d.(gateway.Dispatch).Worker.ID
+			id := d.(requests.Dispatch).Worker.ID
 			if host == 0 {
 				first = id
 			}
@@ -258,22 +258,22 @@
 		s := ready(1)
 		leaving := workers("plain", 1)[0]
 		leaving.State, leaving.Seq = state, 2
-		s, _ = gateway.Reduce(s, gateway.Registered{From: "r", Workers: []registry.Worker{leaving}}, start)
+		s, _ = requests.Reduce(s, requests.Registered{From: "r", Workers: []registry.Worker{leaving}}, start)
 		late := workers("plain", 1)
-		s, _ = gateway.Reduce(s, gateway.Registered{From: "q", Workers: late}, start)
+		s, _ = requests.Reduce(s, requests.Registered{From: "q", Workers: late}, start)
 		_, d := arrive(t, s, request("1", "/safe/x"), start)
-		require.Equal(t, gateway.CodeNoWorker, d.(gateway.Finish).Verdict.Code, state.String())
+		require.Equal(t, requests.CodeNoWorker, d.(requests.Finish).Verdict.Code, state.String())
 	}
 }
 
 func TestReplacedWorkerIsLeft(t *testing.T) {
 	s := ready(1)
 	s, d := arrive(t, s, request("1", "/unsafe/x"), start)
-	s, _ = gateway.Reduce(s, gateway.AttemptEnded{
-		Request: "1", Attempt: d.(gateway.Dispatch).Attempt, Result: outcome.Declined{Leaving: true}, Wanted: true,
+	s, _ = requests.Reduce(s, requests.AttemptEnded{
+		Request: "1", Attempt: d.(requests.Dispatch).Attempt, Result: outcome.Declined{Leaving: true}, Wanted: true,
 	}, start)
 	_, d = arrive(t, s, request("2", "/unsafe/x"), start.Add(time.Minute))
-	require.IsType(t, gateway.Finish{}, d)
+	require.IsType(t, requests.Finish{}, d)
 }
 
 // TestFailingWorkersAreUsedWhereNothingIsLeft ejects all: most likely the fault
@@ -282,33 +282,33 @@
 	s := ready(2)
 	for i := range 4 {
 		id := fmt.Sprintf("r%d", i)
-		var d gateway.Decision
+		var d requests.Decision
 		s, d = arrive(t, s, request(id, "/unsafe/x"), start)
-		s, _ = gateway.Reduce(s, gateway.AttemptEnded{
-			Request: ident.Request(id), Attempt: d.(gateway.Dispatch).Attempt, Result: outcome.Broken{}, Wanted: true,
+		s, _ = requests.Reduce(s, requests.AttemptEnded{
+			Request: ident.Request(id), Attempt: d.(requests.Dispatch).Attempt, Result: outcome.Broken{}, Wanted: true,
 		}, start)
 	}
 	_, d := arrive(t, s, request("last", "/safe/x"), start)
-	require.IsType(t, gateway.Dispatch{}, d)
+	require.IsType(t, requests.Dispatch{}, d)
 }
 
 func TestClosingGatewayPromisesNotRun(t *testing.T) {
-	s, _ := gateway.Reduce(ready(1), gateway.Closing{}, start)
+	s, _ := requests.Reduce(ready(1), requests.Closing{}, start)
 	_, d := arrive(t, s, request("1", "/unsafe/x"), start)
-	require.Equal(t, gateway.CodeDraining, d.(gateway.Finish).Verdict.Code)
-	require.Equal(t, outcome.NotRun, d.(gateway.Finish).Verdict.Outcome)
+	require.Equal(t, requests.CodeDraining, d.(requests.Finish).Verdict.Code)
+	require.Equal(t, outcome.NotRun, d.(requests.Finish).Verdict.Outcome)
 }
 
 func TestSecondRequestUnderAnIDInUsePromisesNothing(t *testing.T) {
 	s, _ := arrive(t, ready(1), request("1", "/unsafe/x"), start)
 	_, d := arrive(t, s, request("1", "/unsafe/x"), start)
-	require.Equal(t, outcome.Unknown, d.(gateway.Finish).Verdict.Outcome)
+	require.Equal(t, outcome.Unknown, d.(requests.Finish).Verdict.Outcome)
 	require.False(t, s.Idle())
 }
 
 // TestOlderTableNeverComesBack puts tables in force in any order.
 func TestOlderTableNeverComesBack(t *testing.T) {
-	s := gateway.New(gateway.Settings{})
+	s := requests.New(requests.Settings{})
 	for _, number := range []uint64{3, 1, 7, 2} {
 		g := table()
 		g.Number = number
--- a/core/gateway/wait_test.go
+++ b/core/requests/wait_test.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
 
-package gateway_test
+package requests_test
 
 import (
 	"fmt"
@@ -10,21 +10,21 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/outcome"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 const startTime = 2 * time.Second
 
 // newStarted returns a gateway that has just started and knows nothing.
-func newStarted() gateway.State {
-	return gateway.New(gateway.Settings{Zone: "z", StartTime: startTime}).WithHosts(1).WithStart(start)
+func newStarted() requests.State {
+	return requests.New(requests.Settings{Zone: "z", StartTime: startTime}).WithHosts(1).WithStart(start)
 }
 
 // withDeadline returns a request whose caller waits for a while from now on.
-func withDeadline(id, path string, now time.Time, wait time.Duration) gateway.Request {
+func withDeadline(id, path string, now time.Time, wait time.Duration) requests.Request {
 	r := request(id, path)
 	r.Deadline = now.Add(wait)
 	return r
@@ -32,14 +32,14 @@
 
 // become feeds what makes a host able, a step at a time, and returns what is decided
 // at each.
-func become(s gateway.State, now time.Time) (gateway.State, [][]gateway.Decision) {
-	out := make([][]gateway.Decision, 0, 2)
+func become(s requests.State, now time.Time) (requests.State, [][]requests.Decision) {
+	out := make([][]requests.Decision, 0, 2)
 	s = s.WithConfig(table())
-	for _, ev := range []gateway.Event{
-		gateway.Confirmed{AsOf: now},
-		gateway.Registered{From: "r", Workers: append(workers("plain", 2), workers("engines", 2)...)},
+	for _, ev := range []requests.Event{
+		requests.Confirmed{AsOf: now},
+		requests.Registered{From: "r", Workers: append(workers("plain", 2), workers("engines", 2)...)},
 	} {
-		next, d := gateway.Reduce(s, ev, now)
+		next, d := requests.Reduce(s, ev, now)
 		s, out = next, append(out, d)
 	}
 	return s, out
@@ -50,19 +50,19 @@
 // once the last of these has come, not before.
 func TestRequestsWaitForAHostThatStarts(t *testing.T) {
 	s := newStarted()
-	for _, r := range []gateway.Request{
+	for _, r := range []requests.Request{
 		withDeadline("late", "/resumable/x", start, time.Minute), withDeadline("soon", "/once/x", start, 1900*time.Millisecond),
 	} {
-		var d gateway.Decision
+		var d requests.Decision
 		s, d = arrive(t, s, r, start)
-		require.Equal(t, gateway.Wait{Request: r.ID}, d)
+		require.Equal(t, requests.Wait{Request: r.ID}, d)
 	}
 	require.False(t, s.Idle())
 	s, decided := become(s, start.Add(time.Second))
 	require.Empty(t, decided[0], "without workers")
 	var order []ident.Request
 	for _, d := range decided[1] {
-		if d, ok := d.(gateway.Dispatch); ok {
+		if d, ok := d.(requests.Dispatch); ok {
 			order = append(order, d.Request)
 		}
 	}
@@ -75,9 +75,9 @@
 // for less than a start takes.
 func TestWhatCannotBeServedInTimeIsRefusedAtOnce(t *testing.T) {
 	_, d := arrive(t, newStarted(), withDeadline("1", "/safe/x", start, 500*time.Millisecond), start)
-	v := d.(gateway.Finish).Verdict
+	v := d.(requests.Finish).Verdict
 	require.Equal(t, outcome.NotRun, v.Outcome)
-	require.Equal(t, gateway.CodeNotReady, v.Code)
+	require.Equal(t, requests.CodeNotReady, v.Code)
 	require.Equal(t, startTime/2, v.RetryAfter, "the time that is usually still needed")
 }
 
@@ -85,21 +85,21 @@
 // and what comes later at once.
 func TestNobodyWaitsBeyondAStart(t *testing.T) {
 	s, _ := arrive(t, newStarted(), withDeadline("1", "/safe/x", start, time.Minute), start)
-	s, decisions := gateway.Reduce(s, gateway.Tick{}, start.Add(startTime-time.Millisecond))
+	s, decisions := requests.Reduce(s, requests.Tick{}, start.Add(startTime-time.Millisecond))
 	require.Empty(t, decisions)
-	s, decisions = gateway.Reduce(s, gateway.Tick{}, start.Add(startTime))
-	require.Equal(t, gateway.CodeNotReady, only(t, decisions).(gateway.Finish).Verdict.Code)
+	s, decisions = requests.Reduce(s, requests.Tick{}, start.Add(startTime))
+	require.Equal(t, requests.CodeNotReady, only(t, decisions).(requests.Finish).Verdict.Code)
 	require.Equal(t, startTime, s.Counters().WaitedInVain)
 	_, d := arrive(t, s, withDeadline("2", "/safe/x", start.Add(startTime), time.Minute), start.Add(startTime))
-	require.IsType(t, gateway.Finish{}, d)
+	require.IsType(t, requests.Finish{}, d)
 }
 
 // TestNobodyWaitsForAHostThatIsCutOff has a host that was able lose its confirmation.
 func TestNobodyWaitsForAHostThatIsCutOff(t *testing.T) {
 	s, _ := become(newStarted(), start)
-	now := start.Add(gateway.DefaultKeyLease)
+	now := start.Add(requests.DefaultKeyLease)
 	_, d := arrive(t, s, withDeadline("1", "/safe/x", now, time.Minute), now)
-	require.Equal(t, gateway.CodeStale, d.(gateway.Finish).Verdict.Code)
+	require.Equal(t, requests.CodeStale, d.(requests.Finish).Verdict.Code)
 }
 
 // TestWaitingEndsOnceForEach draws arrivals, callers that leave, steps of a start and
@@ -108,21 +108,21 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s, now := newStarted(), start
 		waits, ended := map[ident.Request]bool{}, map[ident.Request]int{}
-		take := func(decisions []gateway.Decision) {
+		take := func(decisions []requests.Decision) {
 			for _, d := range decisions {
 				switch d := d.(type) {
-				case gateway.Wait:
+				case requests.Wait:
 					waits[d.Request] = true
-				case gateway.Dispatch:
+				case requests.Dispatch:
 					ended[d.Request]++
-				case gateway.Finish:
+				case requests.Finish:
 					ended[d.Request]++
 					require.Equal(t, outcome.NotRun, d.Verdict.Outcome)
 				}
 			}
 		}
-		feed := func(ev gateway.Event) {
-			next, d := gateway.Reduce(s, ev, now)
+		feed := func(ev requests.Event) {
+			next, d := requests.Reduce(s, ev, now)
 			s = next
 			take(d)
 		}
@@ -132,20 +132,20 @@
 			case 0, 1, 2:
 				path := rapid.SampledFrom([]string{"/safe/x", "/once/x", "/none/x"}).Draw(t, "path")
 				wait := time.Duration(rapid.IntRange(1, 4000).Draw(t, "wait")) * time.Millisecond
-				feed(gateway.Arrived{Request: withDeadline(fmt.Sprint(i), path, now, wait)})
+				feed(requests.Arrived{Request: withDeadline(fmt.Sprint(i), path, now, wait)})
 			case 3:
 				s = s.WithConfig(table())
-				feed(gateway.Confirmed{AsOf: now})
+				feed(requests.Confirmed{AsOf: now})
 			case 4:
-				feed(gateway.Registered{From: "r", Workers: []registry.Worker{workers("plain", 1)[0], workers("engines", 1)[0]}})
+				feed(requests.Registered{From: "r", Workers: []registry.Worker{workers("plain", 1)[0], workers("engines", 1)[0]}})
 			case 5:
-				feed(gateway.Withdrawn{Request: ident.Request(fmt.Sprint(rapid.IntRange(0, 30).Draw(t, "who")))})
+				feed(requests.Withdrawn{Request: ident.Request(fmt.Sprint(rapid.IntRange(0, 30).Draw(t, "who")))})
 			case 6:
-				feed(gateway.Tick{})
+				feed(requests.Tick{})
 			}
 		}
 		now = now.Add(startTime)
-		feed(gateway.Tick{})
+		feed(requests.Tick{})
 		require.Zero(t, s.Waiting())
 		for id := range waits {
 			require.Equal(t, 1, ended[id], id)
@@ -158,10 +158,10 @@
 	s := newStarted()
 	refused := 0
 	for i := range 1100 {
-		next, decisions := gateway.Reduce(s, gateway.Arrived{Request: withDeadline(fmt.Sprint(i), "/safe/x", start, time.Minute)}, start)
+		next, decisions := requests.Reduce(s, requests.Arrived{Request: withDeadline(fmt.Sprint(i), "/safe/x", start, time.Minute)}, start)
 		s = next
 		for _, d := range decisions {
-			if _, ok := d.(gateway.Finish); ok {
+			if _, ok := d.(requests.Finish); ok {
 				refused++
 			}
 		}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -92,7 +92,7 @@
 		ID: s.ID(), Zone: ident.Zone(s.Host.Zone), Address: s.Peer.Address(), Serves: s.Serves(),
 		Replicas: s.Replicas.Hosts(), Neighbours: s.Neighbors.Hosts(), Raft: raftOptions(s, o.Raft),
 		Incarnation: incarnation, Chats: s.Host.Chats, Seeds: s.SeedHosts(), Voters: 2*s.Replicas.Losses + 1,
-		SilentAfter: silentBeats * s.Gateway.Heartbeat, Gateway: gatewaySettings(s), Relay: s.Gateway.Relay,
+		SilentAfter: silentBeats * s.Gateway.Heartbeat, Requests: gatewaySettings(s), Relay: s.Gateway.Relay,
 		HubsAbove: s.Replicas.HubsAbove, InForce: min(s.Gateway.InForce, s.Gateway.Revoke),
 	}
 	log, boot, err := d.openStorage(&hs)
--- a/daemon/forms_test.go
+++ b/daemon/forms_test.go
@@ -19,9 +19,9 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/yardhall/yardhall/core/formtest"
-	coregateway "github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/host"
 	"github.com/yardhall/yardhall/core/outcome"
+	"github.com/yardhall/yardhall/core/requests"
 	"github.com/yardhall/yardhall/gateway"
 	"github.com/yardhall/yardhall/operators"
 	"github.com/yardhall/yardhall/settings"
@@ -104,11 +104,11 @@
 // was not sent to any worker, and of changes of belief.
 func TestLinesOnRequestsStay(t *testing.T) {
 	var l lineLog
-	requests := newRequestLog(l.logger())
-	requests.observe(fullObservation())
+	lines := newRequestLog(l.logger())
+	lines.observe(fullObservation())
 	o := fullObservation()
 	o.Tries = nil
-	requests.observe(o)
+	lines.observe(o)
 	newNoteLog(l.logger()).observe(host.Note{Kind: host.NoteWorker, Object: "w", Detail: "d"})
 	requireGolden(t, "lines.golden", l.lines)
 }
@@ -123,10 +123,10 @@
 
 // TestNamesInLogsStay holds the reason codes of requests and the kinds of notes.
 func TestNamesInLogsStay(t *testing.T) {
-	codes := []coregateway.Code{
-		coregateway.CodeOK, coregateway.CodeNoRoute, coregateway.CodeBadKey, coregateway.CodeNotReady,
-		coregateway.CodeDraining, coregateway.CodeStale, coregateway.CodeDuplicate, coregateway.CodeNoWorker,
-		coregateway.CodeOverloaded, coregateway.CodeBroken, coregateway.CodeDeadline, coregateway.CodeCallerGone,
+	codes := []requests.Code{
+		requests.CodeOK, requests.CodeNoRoute, requests.CodeBadKey, requests.CodeNotReady,
+		requests.CodeDraining, requests.CodeStale, requests.CodeDuplicate, requests.CodeNoWorker,
+		requests.CodeOverloaded, requests.CodeBroken, requests.CodeDeadline, requests.CodeCallerGone,
 	}
 	notes := []host.NoteKind{
 		host.NoteRole, host.NoteConfig, host.NoteHostUp, host.NoteHostDown, host.NoteOwner, host.NoteTarget,
--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -12,10 +12,10 @@
 	"github.com/pkg/errors"
 
 	"github.com/yardhall/yardhall/common/sockets"
-	coregateway "github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/host"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/raft"
+	"github.com/yardhall/yardhall/core/requests"
 	"github.com/yardhall/yardhall/gateway"
 	"github.com/yardhall/yardhall/platform"
 	"github.com/yardhall/yardhall/settings"
@@ -40,9 +40,9 @@
 	retryCaution = 0.6
 )
 
-func gatewaySettings(s settings.Settings) coregateway.Settings {
+func gatewaySettings(s settings.Settings) requests.Settings {
 	g := s.Gateway
-	return coregateway.Settings{
+	return requests.Settings{
 		Zone: ident.Zone(s.Host.Zone), KeyLease: g.KeyLease,
 		RetryShare: retryCaution * settings.Number(g.RetryShare),
 		RetryExtra: retryCaution * settings.Number(g.RetryExtra),
@@ -111,10 +111,10 @@
 
 // observeRequest counts and logs each ended request.
 func (d *Daemon) observeRequest() func(gateway.Observation) {
-	requests := newRequestLog(d.options.Log)
+	lines := newRequestLog(d.options.Log)
 	return func(o gateway.Observation) {
 		d.metrics.observeRequest(o)
-		requests.observe(o)
+		lines.observe(o)
 	}
 }
 
@@ -152,7 +152,7 @@
 	time.Sleep(balancerNotice)
 	// Callers' kept connections must not bring requests until the end. They are
 	// left open, as a close could cross a request; each answer closes its own.
-	d.loop.Route(coregateway.Closing{})
+	d.loop.Route(requests.Closing{})
 	for time.Now().Before(deadline) {
 		if d.gateway.InFlight.Load() == 0 {
 			break
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -15,9 +15,9 @@
 	"github.com/yardhall/yardhall/callers"
 	"github.com/yardhall/yardhall/core/catalog"
 	"github.com/yardhall/yardhall/core/config"
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/host"
 	"github.com/yardhall/yardhall/core/ident"
+	"github.com/yardhall/yardhall/core/requests"
 	"github.com/yardhall/yardhall/peers"
 	"github.com/yardhall/yardhall/targets"
 )
@@ -56,7 +56,7 @@
 	reads    map[string]chan bool
 	// waits take the next decision for each request that was told to wait; under
 	// reducing.
-	waits map[ident.Request]chan gateway.Decision
+	waits map[ident.Request]chan requests.Decision
 }
 
 type writeAnswer struct {
@@ -69,7 +69,7 @@
 		log: log, notes: newNoteLog(log), now: time.Now, events: make(chan host.Event, eventQueue), pool: pool, targets: t,
 		done: make(chan struct{}), calls: map[ident.Request]chan host.Effect{}, writes: map[string]chan writeAnswer{},
 		reads:   map[string]chan bool{},
-		waits:   map[ident.Request]chan gateway.Decision{},
+		waits:   map[ident.Request]chan requests.Decision{},
 		reduced: new(expvar.Int), answers: &callers.Answers{}, delays: newDelays(log), pace: newPace(),
 	}
 	l.state.Store(&s)
@@ -114,7 +114,7 @@
 	var own []host.Effect
 	for _, e := range effects {
 		switch e := e.(type) {
-		case host.Route:
+		case host.RequestDecision:
 			if !l.toWaiting(e.Decision) {
 				own = append(own, e)
 			}
@@ -129,15 +129,15 @@
 
 // toWaiting hands a decision to the request that waits for it, and tells whether one
 // does. The caller holds reducing.
-func (l *loop) toWaiting(d gateway.Decision) bool {
+func (l *loop) toWaiting(d requests.Decision) bool {
 	var id ident.Request
 	switch d := d.(type) {
-	case gateway.Wait:
-		l.waits[d.Request] = make(chan gateway.Decision, 1)
+	case requests.Wait:
+		l.waits[d.Request] = make(chan requests.Decision, 1)
 		return false
-	case gateway.Dispatch:
+	case requests.Dispatch:
 		id = d.Request
-	case gateway.Finish:
+	case requests.Finish:
 		id = d.Request
 	}
 	ch, ok := l.waits[id]
@@ -147,8 +147,8 @@
 	return ok
 }
 
-// Await implements gateway.Core.
-func (l *loop) Await(ctx context.Context, id ident.Request) gateway.Decision {
+// Await implements requests.Core.
+func (l *loop) Await(ctx context.Context, id ident.Request) requests.Decision {
 	l.reducing.Lock()
 	ch := l.waits[id]
 	l.reducing.Unlock()
@@ -162,7 +162,7 @@
 		return d
 	case <-ctx.Done():
 		// Either this or an earlier event has decided on the request.
-		l.reduce(context.Background(), host.Routed{Event: gateway.Withdrawn{Request: id}})
+		l.reduce(context.Background(), host.RequestEvent{Event: requests.Withdrawn{Request: id}})
 	case <-l.done:
 		return nil
 	}
@@ -174,12 +174,12 @@
 	}
 }
 
-// Route implements gateway.Core: it runs on the caller's goroutine, as each
+// Route implements requests.Core: it runs on the caller's goroutine, as each
 // decision concerns the request that asked.
-func (l *loop) Route(ev gateway.Event) []gateway.Decision {
-	var decisions []gateway.Decision
-	for _, e := range l.reduce(context.Background(), host.Routed{Event: ev}) {
-		if r, ok := e.(host.Route); ok {
+func (l *loop) Route(ev requests.Event) []requests.Decision {
+	var decisions []requests.Decision
+	for _, e := range l.reduce(context.Background(), host.RequestEvent{Event: ev}) {
+		if r, ok := e.(host.RequestDecision); ok {
 			decisions = append(decisions, r.Decision)
 		}
 	}
@@ -196,10 +196,10 @@
 	return host.BeatAnswer{}
 }
 
-// Limits implements gateway.Core.
+// Limits implements requests.Core.
 func (l *loop) Limits() config.Limits { return l.state.Load().Config().Gateway.Limits }
 
-// Draining implements gateway.Core.
+// Draining implements requests.Core.
 func (l *loop) Draining() bool { return l.state.Load().Draining() }
 
 // Confirm tells whether the configuration held is the newest one, as a leader
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -43,7 +43,7 @@
 		verdicts: new(expvar.Map).Init(),
 	}
 	m.vars.Set("core", expvar.Func(func() any { return d.loop.State().Counters() }))
-	m.vars.Set("gateway", expvar.Func(func() any { return d.loop.State().Gateway().Counters() }))
+	m.vars.Set("gateway", expvar.Func(func() any { return d.loop.State().Requests().Counters() }))
 	m.vars.Set("gateway_requests", m.verdicts)
 	m.vars.Set("worker_connections", expvar.Func(func() any { return d.workerConnections() }))
 	m.vars.Set("reduced_events", d.loop.reduced)
--- a/daemon/requests.go
+++ b/daemon/requests.go
@@ -9,8 +9,8 @@
 	"github.com/go-logr/logr"
 
 	"github.com/yardhall/yardhall/common/logs"
-	coregateway "github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/outcome"
+	"github.com/yardhall/yardhall/core/requests"
 	"github.com/yardhall/yardhall/gateway"
 )
 
@@ -39,7 +39,7 @@
 
 func (l *requestLog) observe(o gateway.Observation) {
 	budget := &l.odd
-	if len(o.Tries) == 1 && o.Verdict.Code == coregateway.CodeOK {
+	if len(o.Tries) == 1 && o.Verdict.Code == requests.CodeOK {
 		budget = &l.plain
 	}
 	ok, skipped := budget.Allow(l.now())
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -14,8 +14,8 @@
 
 	"github.com/pkg/errors"
 
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/outcome"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 const (
@@ -35,7 +35,7 @@
 // exchange is one try of a request at a worker.
 type exchange struct {
 	server   *Server
-	dispatch gateway.Dispatch
+	dispatch requests.Dispatch
 	request  *http.Request
 	body     []byte
 	conn     *workerConn
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"github.com/yardhall/yardhall/common/keys"
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/ident"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 // Headers names the headers by which callers, hosts and workers speak. Each
@@ -113,8 +113,8 @@
 }
 
 // request reads what the core needs to know of a request.
-func (h Headers) request(r *http.Request, now time.Time) gateway.Request {
-	out := gateway.Request{
+func (h Headers) request(r *http.Request, now time.Time) requests.Request {
+	out := requests.Request{
 		ID: ident.Request(r.Header.Get(h.RequestID)), Host: r.Host, Path: r.URL.Path,
 		Resumed: r.Header.Get(h.LastEvent) != "",
 	}
@@ -129,7 +129,7 @@
 	for part := range strings.SplitSeq(r.Header.Get(h.Parts), ",") {
 		id, tokens, ok := strings.Cut(strings.TrimSpace(part), ":")
 		if n, err := strconv.Atoi(tokens); ok && err == nil {
-			out.Prompt.Parts = append(out.Prompt.Parts, gateway.Part{ID: id, Tokens: n})
+			out.Prompt.Parts = append(out.Prompt.Parts, requests.Part{ID: id, Tokens: n})
 		}
 	}
 	return out
@@ -144,16 +144,16 @@
 }
 
 // load reads a worker's word on its load.
-func (h Headers) load(in http.Header) gateway.Load {
+func (h Headers) load(in http.Header) requests.Load {
 	running, rest, _ := strings.Cut(in.Get(h.Load), ",")
-	var l gateway.Load
+	var l requests.Load
 	l.Running, _ = strconv.Atoi(strings.TrimSpace(running))
 	l.Waiting, l.Slots = pair(rest)
 	return l
 }
 
 // toWorker returns the headers of one try at a worker.
-func (h Headers) toWorker(in http.Header, d gateway.Dispatch, left time.Duration, lastEvent string) http.Header {
+func (h Headers) toWorker(in http.Header, d requests.Dispatch, left time.Duration, lastEvent string) http.Header {
 	out := passedOn(in)
 	for _, name := range h.ofCaller() {
 		if values, ok := in[name]; ok {
--- a/gateway/headers_test.go
+++ b/gateway/headers_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 // spelled draws a name in some mixture of cases.
@@ -53,7 +53,7 @@
 		for _, name := range named {
 			lines = append(lines, "Connection: "+spelled(t, name))
 		}
-		d := gateway.Dispatch{Request: "id-1", Worker: registry.Worker{ID: "w"}, Engine: rapid.Bool().Draw(t, "engine")}
+		d := requests.Dispatch{Request: "id-1", Worker: registry.Worker{ID: "w"}, Engine: rapid.Bool().Draw(t, "engine")}
 		out := h.toWorker(parsed(t, rapid.Permutation(lines).Draw(t, "lines")), d, time.Second, "")
 		for name, values := range out {
 			require.NotContains(t, values, "forged", name)
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -22,19 +22,19 @@
 	"time"
 
 	"github.com/yardhall/yardhall/core/config"
-	"github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/outcome"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 )
 
 // Core is what the server needs of the process's event loop.
 type Core interface {
 	// Route feeds one event and returns what was decided.
-	Route(ev gateway.Event) []gateway.Decision
+	Route(ev requests.Event) []requests.Decision
 	// Await returns the next decision for a request that was told to wait. Where ctx
 	// ends first, the request is withdrawn; nil means that the process stops.
-	Await(ctx context.Context, id ident.Request) gateway.Decision
+	Await(ctx context.Context, id ident.Request) requests.Decision
 	// Limits are the bounds for callers in force.
 	Limits() config.Limits
 	// Draining tells whether the process is being stopped.
@@ -54,9 +54,9 @@
 
 // Observation is one ended request.
 type Observation struct {
-	Request gateway.Request
-	Verdict gateway.Verdict
-	Inputs  gateway.Inputs
+	Request requests.Request
+	Verdict requests.Verdict
+	Inputs  requests.Inputs
 	// Tries lists the workers called and what came of it.
 	Tries []Try
 	Took  time.Duration
@@ -70,7 +70,7 @@
 
 // Try is one try at a worker.
 type Try struct {
-	Dispatch gateway.Dispatch
+	Dispatch requests.Dispatch
 	Result   outcome.Attempt
 	Took     time.Duration
 }
@@ -148,15 +148,15 @@
 }
 
 // told hands to the core that an answer has begun, and the worker's word on its load.
-func (s *Server) told(d gateway.Dispatch, h http.Header, took time.Duration) {
-	s.core.Route(gateway.HeadReceived{Worker: d.Worker.ID, Load: s.headers.load(h), Route: d.Route.Name, Took: took})
+func (s *Server) told(d requests.Dispatch, h http.Header, took time.Duration) {
+	s.core.Route(requests.HeadReceived{Worker: d.Worker.ID, Load: s.headers.load(h), Route: d.Route.Name, Took: took})
 }
 
 // givesUp tells whether a try without an answer so far is to end, as the request goes
 // elsewhere.
-func (s *Server) givesUp(d gateway.Dispatch, waited time.Duration) bool {
-	for _, decision := range s.core.Route(gateway.HeadLate{Request: d.Request, Attempt: d.Attempt, Waited: waited}) {
-		if g, ok := decision.(gateway.GiveUp); ok && g.Request == d.Request {
+func (s *Server) givesUp(d requests.Dispatch, waited time.Duration) bool {
+	for _, decision := range s.core.Route(requests.HeadLate{Request: d.Request, Attempt: d.Attempt, Waited: waited}) {
+		if g, ok := decision.(requests.GiveUp); ok && g.Request == d.Request {
 			return true
 		}
 	}
@@ -165,13 +165,13 @@
 
 // decide feeds an event and returns what becomes of its request, or nil. Whatever
 // else was decided is begun.
-func (s *Server) decide(ev gateway.Event) gateway.Decision {
-	var next gateway.Decision
+func (s *Server) decide(ev requests.Event) requests.Decision {
+	var next requests.Decision
 	for _, d := range s.core.Route(ev) {
 		switch d := d.(type) {
-		case gateway.Reconnect:
+		case requests.Reconnect:
 			go s.reconnect(d.Worker)
-		case gateway.Dispatch, gateway.Wait, gateway.Finish:
+		case requests.Dispatch, requests.Wait, requests.Finish:
 			next = d
 		}
 	}
@@ -185,7 +185,7 @@
 	if err == nil {
 		s.pool.put(conn, 0, s.now())
 	}
-	s.core.Route(gateway.Reached{Worker: w.ID, OK: err == nil})
+	s.core.Route(requests.Reached{Worker: w.ID, OK: err == nil})
 }
 
 // serverCall is one request in progress.
@@ -201,28 +201,28 @@
 }
 
 // run follows the core's decisions to the end of the request.
-func (c *serverCall) run(req gateway.Request) {
-	next := c.server.decide(gateway.Arrived{Request: req})
+func (c *serverCall) run(req requests.Request) {
+	next := c.server.decide(requests.Arrived{Request: req})
 	for {
 		switch d := next.(type) {
-		case gateway.Wait:
+		case requests.Wait:
 			next = c.server.core.Await(c.request.Context(), d.Request)
 			c.observed.Waited = c.server.now().Sub(c.begun)
-		case gateway.Dispatch:
+		case requests.Dispatch:
 			next = c.server.decide(c.try(d))
-		case gateway.Finish:
+		case requests.Finish:
 			c.observed.Inputs = d.Inputs
 			c.finish(d.Verdict)
 			return
 		default:
-			c.finish(gateway.Verdict{Outcome: outcome.Unknown, Code: gateway.CodeBroken})
+			c.finish(requests.Verdict{Outcome: outcome.Unknown, Code: requests.CodeBroken})
 			return
 		}
 	}
 }
 
 // try makes one try and reports how it ended.
-func (c *serverCall) try(d gateway.Dispatch) gateway.Event {
+func (c *serverCall) try(d requests.Dispatch) requests.Event {
 	started := c.server.now()
 	ctx, cancel := context.WithDeadline(c.request.Context(), d.Deadline)
 	defer cancel()
@@ -242,9 +242,9 @@
 	}
 	c.observed.Tries = append(c.observed.Tries, Try{Dispatch: d, Result: result, Took: c.server.now().Sub(started)})
 	if late {
-		return gateway.Expired{Request: d.Request}
+		return requests.Expired{Request: d.Request}
 	}
-	return gateway.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, Wanted: !gone}
+	return requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, Wanted: !gone}
 }
 
 // rest waits for a while, or until ctx ends.
@@ -261,7 +261,7 @@
 }
 
 // finish tells the caller how the request ended.
-func (c *serverCall) finish(v gateway.Verdict) {
+func (c *serverCall) finish(v requests.Verdict) {
 	c.observed.Verdict = v
 	c.observed.Took = c.server.now().Sub(c.begun)
 	if !c.relay.first.IsZero() {
@@ -270,11 +270,11 @@
 	c.observed.Pause = c.relay.pause
 	c.server.observe(c.observed)
 	switch {
-	case v.Code == gateway.CodeOK && c.answer != nil:
+	case v.Code == requests.CodeOK && c.answer != nil:
 		c.deliver(c.answer)
-	case v.Code == gateway.CodeOK:
+	case v.Code == requests.CodeOK:
 		// The stream has been passed on whole.
-	case c.relay.begun || v.Code == gateway.CodeCallerGone:
+	case c.relay.begun || v.Code == requests.CodeCallerGone:
 		// What was sent must not look complete.
 		panic(http.ErrAbortHandler)
 	default:
@@ -301,7 +301,7 @@
 	}
 }
 
-func (c *serverCall) refuse(v gateway.Verdict) {
+func (c *serverCall) refuse(v requests.Verdict) {
 	h := c.writer.Header()
 	if v.Elsewhere {
 		h.Set("Connection", "close")
@@ -316,15 +316,15 @@
 
 // statusOf maps a verdict to HTTP. 503 promises that the request has not run
 // and never will; 502 and 504 promise nothing.
-func statusOf(v gateway.Verdict) int {
+func statusOf(v requests.Verdict) int {
 	switch {
-	case v.Code == gateway.CodeNoRoute:
+	case v.Code == requests.CodeNoRoute:
 		return http.StatusNotFound
-	case v.Code == gateway.CodeBadKey:
+	case v.Code == requests.CodeBadKey:
 		return http.StatusUnauthorized
 	case v.Outcome == outcome.NotRun:
 		return http.StatusServiceUnavailable
-	case v.Code == gateway.CodeDeadline:
+	case v.Code == requests.CodeDeadline:
 		return http.StatusGatewayTimeout
 	}
 	return http.StatusBadGateway
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -19,9 +19,9 @@
 
 	"github.com/yardhall/yardhall/common/keys"
 	"github.com/yardhall/yardhall/core/config"
-	core "github.com/yardhall/yardhall/core/gateway"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/registry"
+	"github.com/yardhall/yardhall/core/requests"
 	"github.com/yardhall/yardhall/gateway"
 	"github.com/yardhall/yardhall/standin"
 )
@@ -39,17 +39,17 @@
 // fakeCore runs the real decisions without the rest of a process.
 type fakeCore struct {
 	mu    sync.Mutex
-	state core.State
+	state requests.State
 }
 
-func (c *fakeCore) Route(ev core.Event) []core.Decision {
+func (c *fakeCore) Route(ev requests.Event) []requests.Decision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	next, decisions := core.Reduce(c.state, ev, time.Now())
+	next, decisions := requests.Reduce(c.state, ev, time.Now())
 	c.state = next
-	var out []core.Decision
+	var out []requests.Decision
 	for _, d := range decisions {
-		if _, note := d.(core.Believed); !note {
+		if _, note := d.(requests.Believed); !note {
 			out = append(out, d)
 		}
 	}
@@ -57,7 +57,7 @@
 }
 
 // Await is not asked for, as this core's host has not just started.
-func (c *fakeCore) Await(context.Context, ident.Request) core.Decision { return nil }
+func (c *fakeCore) Await(context.Context, ident.Request) requests.Decision { return nil }
 
 func (c *fakeCore) Limits() config.Limits { return config.Limits{MaxBodyBytes: 1 << 16} }
 func (c *fakeCore) Draining() bool        { return false }
@@ -89,7 +89,7 @@
 		Keys: []config.KeyOwner{{Account: "halls", KeyHashes: []string{keys.Hash(callerKey)}}},
 	}
 	b := &bench{t: t, core: &fakeCore{}, pool: gateway.NewPool(nil)}
-	b.core.state = core.New(core.Settings{KeyLease: time.Hour}).WithConfig(table).WithHosts(1)
+	b.core.state = requests.New(requests.Settings{KeyLease: time.Hour}).WithConfig(table).WithHosts(1)
 	registered := make([]registry.Worker, 0, workers)
 	for i := range workers {
 		w, err := standin.StartWorker("127.0.0.1:0", fmt.Sprintf("w%d", i), workerNames())
@@ -98,8 +98,8 @@
 		b.workers = append(b.workers, w)
 		registered = append(registered, registry.Worker{ID: ident.Target(w.ID), Pool: "pool", Address: w.Address(), Slots: 4, Seq: 1})
 	}
-	b.core.Route(core.Registered{Workers: registered})
-	b.core.Route(core.Confirmed{AsOf: time.Now()})
+	b.core.Route(requests.Registered{Workers: registered})
+	b.core.Route(requests.Confirmed{AsOf: time.Now()})
 	server := httptest.NewServer(gateway.NewServer(gateway.Deps{Core: b.core, Pool: b.pool, Headers: names}))
 	t.Cleanup(server.Close)
 	t.Cleanup(b.pool.Close)
@@ -345,7 +345,7 @@
 		close(closed)
 	}()
 	b := newBench(t, 0)
-	b.core.Route(core.Registered{Workers: []registry.Worker{{ID: "slow", Pool: "pool", Address: l.Addr().String(), Slots: 1, Seq: 1}}})
+	b.core.Route(requests.Registered{Workers: []registry.Worker{{ID: "slow", Pool: "pool", Address: l.Addr().String(), Slots: 1, Seq: 1}}})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		<-got
