--- a/core/host/call.go
+++ b/core/host/call.go
@@ -185,7 +185,7 @@
 	}
 	if c.phase == phaseRunning {
 		t.learn(c.target, ev.Result)
-		c.worst = outcome.Worst(c.worst, outcome.Of(ev.Result))
+		c.worst = outcome.Combine(c.worst, outcome.Of(ev.Result))
 	}
 	switch r := ev.Result.(type) {
 	case outcome.Answered:
--- a/core/host/effect.go
+++ b/core/host/effect.go
@@ -84,19 +84,19 @@
 	}
 )
 
-func (Send) effect()        {}
-func (Persist) effect()     {}
-func (Dispatch) effect()    {}
-func (Finish) effect()      {}
-func (Probe) effect()       {}
-func (SendOrder) effect()   {}
-func (AnswerWrite) effect() {}
-func (Note) effect()        {}
-func (LookUp) effect()      {}
-func (KnowHosts) effect()   {}
-func (RequestDecision) effect()       {}
-func (AnswerRead) effect()  {}
-func (BeatAnswer) effect()  {}
+func (Send) effect()            {}
+func (Persist) effect()         {}
+func (Dispatch) effect()        {}
+func (Finish) effect()          {}
+func (Probe) effect()           {}
+func (SendOrder) effect()       {}
+func (AnswerWrite) effect()     {}
+func (Note) effect()            {}
+func (LookUp) effect()          {}
+func (KnowHosts) effect()       {}
+func (RequestDecision) effect() {}
+func (AnswerRead) effect()      {}
+func (BeatAnswer) effect()      {}
 
 // NoteKind names a change of state.
 type NoteKind string
--- a/core/host/event.go
+++ b/core/host/event.go
@@ -92,7 +92,7 @@
 func (DiskSynced) event()    {}
 func (Drain) event()         {}
 func (ReplicaChange) event() {}
-func (RequestEvent) event()        {}
+func (RequestEvent) event()  {}
 func (Beaten) event()        {}
 func (Left) event()          {}
 func (Read) event()          {}
--- a/core/host/host.go
+++ b/core/host/host.go
@@ -153,7 +153,7 @@
 	// knows of those that sync with it.
 	sync     syncState
 	registry registry.Registry
-	requests  requests.State
+	requests requests.State
 	reads    table.Table[string, pendingRead]
 	counters Counters
 }
--- a/core/host/hub.go
+++ b/core/host/hub.go
@@ -252,7 +252,7 @@
 		t.sync.hub.outside, t.sync.hub.outsideAt = told, asOf
 		told = t.sumLoads().others(t.settings.ID, told)
 	}
-	t.routed(requests.LoadsTold{Loads: told, AsOf: asOf})
+	t.routed(requests.LoadsReported{Loads: told, AsOf: asOf})
 }
 
 // group are the hosts that this hub counts; changed tells whether they must be told
--- a/core/host/neighbours.go
+++ b/core/host/neighbours.go
@@ -134,5 +134,5 @@
 	case t.sync.behindAt.IsZero():
 		t.sync.behindAt = t.now
 	}
-	t.requests = t.requests.WithBehind(!t.sync.behindAt.IsZero())
+	t.requests = t.requests.WithNewerKnown(!t.sync.behindAt.IsZero())
 }
--- a/core/host/relay.go
+++ b/core/host/relay.go
@@ -209,7 +209,7 @@
 	t.sync.relay.at = t.now
 	out := map[ident.Host][]registry.Worker{}
 	for id, w := range t.sync.relay.heard {
-		to := t.requests.ToldBy(id)
+		to := t.requests.ReportedBy(id)
 		if c, ok := t.sync.contacts.Get(to); !ok || c.lost || !slices.Contains(asked, to) {
 			to = t.beatSource()
 		}
--- a/core/host/syncanswer.go
+++ b/core/host/syncanswer.go
@@ -128,11 +128,11 @@
 	t.requests = next
 	for _, d := range decisions {
 		switch d := d.(type) {
-		case requests.Believed:
+		case requests.WorkerChanged:
 			t.note(NoteWorker, string(d.Worker.ID), fmt.Sprintf("usable=%t state=%s seq=%d at=%s failures=%d why=%q",
-				d.Usable, d.Worker.State, d.Worker.Seq, d.Worker.Address, d.Failures, d.Why))
-		case requests.ZoneBelieved:
-			t.note(NoteZone, string(d.Zone), fmt.Sprintf("reached=%t others=%t missed=%s", d.Reached, d.Others, d.Missed))
+				d.Healthy, d.Worker.State, d.Worker.Seq, d.Worker.Address, d.Failures, d.Why))
+		case requests.ZoneChanged:
+			t.note(NoteZone, string(d.Zone), fmt.Sprintf("reached=%t others=%t missed=%s", d.Reachable, d.AllOthers, d.LastFailed))
 		default:
 			t.emit(RequestDecision{Decision: d})
 		}
--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -84,9 +84,9 @@
 	panic("outcome: attempt outside the closed set")
 }
 
-// Worst joins the outcomes of several attempts of one request: a later proof
+// Combine joins the outcomes of several attempts of one request: a later proof
 // that the last one did not run does not clear an earlier one that may have.
-func Worst(a, b Kind) Kind {
+func Combine(a, b Kind) Kind {
 	if a == Ran || b == Ran {
 		return Ran
 	}
--- a/core/requests/admit.go
+++ b/core/requests/admit.go
@@ -9,95 +9,87 @@
 	"github.com/yardhall/yardhall/core/outcome"
 )
 
-// arrive checks a request and sends it to its first worker.
-func (t *turn) arrive(r Request) {
+// A request is admitted where a route takes its host and path, its key is known or not
+// needed, and its deadline lies ahead. Whether a refusal is final depends on the lease: a
+// host whose table is surely the newest says so for good, any other one sends the caller
+// to another host at once, as a newer table may say otherwise. What needs no key is served
+// without a valid lease too, but never by a table that is known to have been replaced.
+//
+// Inputs: the route table and whether its lease is valid, the caller's key and deadline.
+
+const (
+	// retryAfter is the advice to callers where something may be repaired soon. Chosen,
+	// not measured.
+	retryAfter = 300 * time.Millisecond
+	// retryAfterElsewhere is the same where another host can take the request now; just
+	// long enough for the caller to open another connection. Chosen, not measured.
+	retryAfterElsewhere = 20 * time.Millisecond
+)
+
+// arrive admits a request and sends it to its first worker, lets it wait for this host
+// to start, or refuses it.
+func (t *transition) arrive(r Request) {
 	t.counters.Requests++
 	if t.closing {
-		t.refuseHere(r.ID, CodeDraining, "this host is being stopped")
+		t.refuseForOtherHost(r.ID, CodeDraining, "this host is being stopped")
 		return
 	}
-	if t.calls.Has(r.ID) || t.waits.Has(r.ID) {
+	if t.calls.Has(r.ID) || t.waiting.Has(r.ID) {
 		t.refuseDuplicate(r.ID)
 		return
 	}
-	if t.wait(r) {
+	if t.waitForStart(r) {
 		return
 	}
 	t.probeZones(r)
 	t.decide(r, t.now)
 }
 
-// decide ends a request that arrived at a time, or sends it to its first worker.
-func (t *turn) decide(r Request, since time.Time) {
+// decide refuses a request that arrived at a time, or sends it to its first worker.
+func (t *transition) decide(r Request, arrived time.Time) {
 	if t.number == 0 {
-		t.refuse(r.ID, CodeNotReady, "this host has no route table yet", comeBack)
+		t.refuse(r.ID, CodeNotReady, "this host has no route table yet", retryAfter)
 		return
 	}
-	c := call{req: r, since: since, worst: outcome.NotRun}
+	c := call{req: r, arrived: arrived, combined: outcome.NotRun}
 	if !t.admit(&c) {
 		return
 	}
-	t.addRequest(c.pool.ID)
+	t.earnRetries(c.pool.ID)
 	t.dispatch(c, Verdict{Code: CodeNoWorker, Reason: "no worker is known"})
 }
 
-// refuseDuplicate ends a second request under an id in use; the first goes on.
-func (t *turn) refuseDuplicate(id ident.Request) {
-	t.counters.Refused++
-	t.out = append(t.out, Finish{Request: id, Verdict: Verdict{
-		Outcome: outcome.Unknown, Code: CodeDuplicate, Reason: "a request with this id is in progress",
-	}})
-}
-
-// admit resolves route, account, pool and deadline.
-func (t *turn) admit(c *call) bool {
-	fresh := t.Fresh(t.now)
+// admit resolves route, account, pool and deadline, or refuses the request.
+func (t *transition) admit(c *call) bool {
+	valid := t.LeaseValid(t.now)
 	route, ok := t.index.Route(c.req.Host, c.req.Path)
 	if !ok {
-		t.refuseBy(c.req.ID, fresh, CodeNoRoute, "no route for host and path")
+		t.refuseByTable(c.req.ID, valid, CodeNoRoute, "no route for host and path")
 		return false
 	}
 	c.route, c.rank = route, route.Rank
-	holder, known := t.index.KeyOwner(c.req.KeyHash)
+	owner, known := t.index.KeyOwner(c.req.KeyHash)
 	if !known && !route.Public && t.index.Keyed() {
-		t.refuseBy(c.req.ID, fresh, CodeBadKey, "the API key is not known")
+		t.refuseByTable(c.req.ID, valid, CodeBadKey, "the API key is not known")
 		return false
 	}
-	if !fresh && (t.behind || known && !route.Public) {
-		// What needs no key is served without a word from replicas, but not by a table
-		// that is known to have been replaced.
+	needsLease := t.newerKnown || known && !route.Public
+	if !valid && needsLease {
 		t.refuseStale(c.req.ID)
 		return false
 	}
 	if known {
-		c.account = holder.Account
-		if holder.Ranked {
-			c.rank = holder.Rank
+		c.account = owner.Account
+		if owner.Ranked {
+			c.rank = owner.Rank
 		}
 	}
-	c.pool, _ = t.index.Pool(t.share(*c))
+	c.pool, _ = t.index.Pool(poolOf(*c))
 	return t.admitDeadline(c)
 }
 
-// refuseBy refuses for good where the configuration is surely the newest, and
-// for the moment otherwise.
-func (t *turn) refuseBy(id ident.Request, fresh bool, code Code, reason string) {
-	if !fresh {
-		t.refuseStale(id)
-		return
-	}
-	t.refuse(id, code, reason, 0)
-}
-
-// refuseStale refuses a request because nothing has confirmed the configuration in
-// time: a host that is cut off alone sends callers elsewhere at once.
-func (t *turn) refuseStale(id ident.Request) {
-	t.counters.Stale++
-	t.refuseHere(id, CodeStale, "the configuration was not confirmed in time")
-}
-
 // admitDeadline bounds the request by the route's timeout.
-func (t *turn) admitDeadline(c *call) bool {
+func (t *transition) admitDeadline(c *call) bool {
 	limit := t.now.Add(time.Duration(c.route.Timeout))
 	if c.req.Deadline.IsZero() || c.req.Deadline.After(limit) {
 		c.req.Deadline = limit
@@ -109,8 +101,8 @@
 	return true
 }
 
-// share picks the pool that takes the request, by the route's weights.
-func (t *turn) share(c call) ident.Service {
+// poolOf picks the pool that takes the request, by the route's weights.
+func poolOf(c call) ident.Service {
 	shares := c.route.Shares
 	if len(shares) == 1 {
 		return shares[0].Pool
@@ -128,3 +120,39 @@
 	}
 	return shares[0].Pool
 }
+
+// refuse ends a request before any worker was called. after is when the caller may come
+// back; 0 gives no advice.
+func (t *transition) refuse(id ident.Request, code Code, reason string, after time.Duration) {
+	t.finish(id, Verdict{Outcome: outcome.NotRun, Code: code, Reason: reason, RetryAfter: after})
+}
+
+// refuseForOtherHost does the same where another host likely takes the request.
+func (t *transition) refuseForOtherHost(id ident.Request, code Code, reason string) {
+	t.finish(id, Verdict{
+		Outcome: outcome.NotRun, Code: code, Reason: reason, RetryAfter: retryAfterElsewhere, Elsewhere: true,
+	})
+}
+
+// refuseByTable refuses for good where the lease is valid, and for the moment otherwise.
+func (t *transition) refuseByTable(id ident.Request, leaseValid bool, code Code, reason string) {
+	if !leaseValid {
+		t.refuseStale(id)
+		return
+	}
+	t.refuse(id, code, reason, 0)
+}
+
+// refuseStale refuses a request because nothing has confirmed the table in time.
+func (t *transition) refuseStale(id ident.Request) {
+	t.counters.Stale++
+	t.refuseForOtherHost(id, CodeStale, "the configuration was not confirmed in time")
+}
+
+// refuseDuplicate ends a second request under an id in use; the first goes on.
+func (t *transition) refuseDuplicate(id ident.Request) {
+	t.counters.Refused++
+	t.out = append(t.out, Finish{Request: id, Verdict: Verdict{
+		Outcome: outcome.Unknown, Code: CodeDuplicate, Reason: "a request with this id is in progress",
+	}})
+}
--- /dev/null
+++ b/core/requests/admit_test.go
@@ -0,0 +1,85 @@
+// Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
+
+package requests_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/yardhall/yardhall/core/outcome"
+	"github.com/yardhall/yardhall/core/requests"
+)
+
+func TestRouteWithTheLongestPrefixWins(t *testing.T) {
+	s := ready(2)
+	_, d := arrive(t, s, request("1", "/safe/deeper/x"), start)
+	require.Equal(t, "deeper", d.(requests.Dispatch).Route.Name)
+	_, d = arrive(t, s, request("2", "/safe/x"), start)
+	require.Equal(t, "safe", d.(requests.Dispatch).Route.Name)
+	_, d = arrive(t, s, request("3", "/none/x"), start)
+	require.Equal(t, requests.CodeNoRoute, d.(requests.Finish).Verdict.Code)
+}
+
+func TestAccountOfTheKeyAndItsRankReachTheWorker(t *testing.T) {
+	_, d := arrive(t, ready(2), request("1", "/resumable/x"), start)
+	require.EqualValues(t, "halls", d.(requests.Dispatch).Account)
+	require.Equal(t, 4, d.(requests.Dispatch).Rank)
+}
+
+// TestNothingIsRefusedForGoodOnStaleKnowledge lets the confirmation grow old:
+// what would be 401 or 404 becomes a refusal for the moment, and so does a
+// request with a key; a public route goes on.
+func TestNothingIsRefusedForGoodOnStaleKnowledge(t *testing.T) {
+	s, later := ready(2), start.Add(requests.DefaultKeyLease)
+	bad := request("2", "/safe/x")
+	bad.KeyHash = "other"
+	for i, r := range []requests.Request{request("1", "/none/x"), bad, request("3", "/safe/x")} {
+		_, d := arrive(t, s, r, later)
+		v := d.(requests.Finish).Verdict
+		require.Equal(t, requests.CodeStale, v.Code, "request %d", i)
+		require.Equal(t, outcome.NotRun, v.Outcome)
+		require.Positive(t, v.RetryAfter)
+	}
+	open := request("4", "/safe/deeper/x")
+	open.KeyHash = ""
+	_, d := arrive(t, s, open, later)
+	require.IsType(t, requests.Dispatch{}, d)
+}
+
+func TestTimeoutBoundsTheDeadline(t *testing.T) {
+	r := request("1", "/safe/x")
+	r.Deadline = start.Add(time.Hour)
+	_, d := arrive(t, ready(1), r, start)
+	require.Equal(t, start.Add(time.Second), d.(requests.Dispatch).Deadline)
+	r.Deadline = start.Add(time.Millisecond)
+	_, d = arrive(t, ready(1), r, start)
+	require.Equal(t, start.Add(time.Millisecond), d.(requests.Dispatch).Deadline)
+}
+
+func TestClosingHostPromisesNotRun(t *testing.T) {
+	s, _ := requests.Reduce(ready(1), requests.Closing{}, start)
+	_, d := arrive(t, s, request("1", "/unsafe/x"), start)
+	require.Equal(t, requests.CodeDraining, d.(requests.Finish).Verdict.Code)
+	require.Equal(t, outcome.NotRun, d.(requests.Finish).Verdict.Outcome)
+}
+
+func TestSecondRequestUnderAnIDInUsePromisesNothing(t *testing.T) {
+	s, _ := arrive(t, ready(1), request("1", "/unsafe/x"), start)
+	_, d := arrive(t, s, request("1", "/unsafe/x"), start)
+	require.Equal(t, outcome.Unknown, d.(requests.Finish).Verdict.Outcome)
+	require.False(t, s.Idle())
+}
+
+// TestOlderTableNeverComesBack puts tables in force in any order.
+func TestOlderTableNeverComesBack(t *testing.T) {
+	s := requests.New(requests.Settings{})
+	for _, number := range []uint64{3, 1, 7, 2} {
+		g := table()
+		g.Number = number
+		before := s.Number()
+		s = s.WithConfig(g)
+		require.Equal(t, max(before, number), s.Number())
+	}
+}
--- /dev/null
+++ b/core/requests/attempt_test.go
@@ -0,0 +1,65 @@
+// Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
+
+package requests_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+
+	"github.com/yardhall/yardhall/core/outcome"
+	"github.com/yardhall/yardhall/core/requests"
+)
+
+// TestOutcomesAreProved draws how tries end, for each kind of route, and checks
+// what the users need to hold: what must not run twice is sent nowhere after it
+// may have run; not-run is said only where no try may have run; no more workers
+// are sent to than the route allows; each event yields one decision.
+func TestOutcomesAreProved(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		path := rapid.SampledFrom([]string{"/safe/x", "/unsafe/x", "/once/x", "/resumable/x"}).Draw(t, "path")
+		s, now := ready(rapid.IntRange(1, 6).Draw(t, "workers")), start
+		s, d := arrive(t, s, request("1", path), now)
+		mayHaveRun, reached := false, 0
+		for {
+			dispatch, ok := d.(requests.Dispatch)
+			if !ok {
+				break
+			}
+			require.False(t, mayHaveRun && !dispatch.Route.Repeatable(), "sent again after it may have run")
+			require.Less(t, reached, dispatch.Route.MaxAttempts)
+			result := rapid.SampledFrom([]outcome.Attempt{
+				outcome.Answered{Status: 200},
+				outcome.Answered{Status: 500},
+				outcome.NeverSent{},
+				outcome.Declined{},
+				outcome.Declined{Leaving: true},
+				outcome.Broken{},
+				outcome.Broken{Begun: true},
+				outcome.Abandoned{Sent: true},
+			}).Draw(t, "result")
+			if outcome.Of(result) != outcome.NotRun {
+				mayHaveRun = true
+			}
+			if declined, ok := result.(outcome.Declined); !ok || !declined.Leaving {
+				if _, never := result.(outcome.NeverSent); !never {
+					reached++
+				}
+			}
+			now = now.Add(time.Millisecond)
+			var decisions []requests.Decision
+			s, decisions = requests.Reduce(s, requests.AttemptEnded{Request: "1", Attempt: dispatch.Attempt, Result: result, Wanted: true}, now)
+			d = only(t, decisions)
+		}
+		verdict := d.(requests.Finish).Verdict
+		if mayHaveRun {
+			require.NotEqual(t, outcome.NotRun, verdict.Outcome)
+		} else {
+			require.Equal(t, outcome.NotRun, verdict.Outcome)
+			require.Positive(t, verdict.RetryAfter, "a request that has not run is told when to come back")
+		}
+		require.True(t, s.Idle())
+	})
+}
--- /dev/null
+++ b/core/requests/decision.go
@@ -0,0 +1,131 @@
+// Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
+
+package requests
+
+import (
+	"time"
+
+	"github.com/yardhall/yardhall/core/config"
+	"github.com/yardhall/yardhall/core/ident"
+	"github.com/yardhall/yardhall/core/outcome"
+	"github.com/yardhall/yardhall/core/registry"
+)
+
+// Decision is what becomes of a request next, or what this host has come to believe. The
+// set is closed.
+type Decision interface{ decision() }
+
+type (
+	// Dispatch sends the request to a worker.
+	Dispatch struct {
+		Request ident.Request
+		Attempt int
+		Worker  registry.Worker
+		Route   config.Route
+		// Account is the caller's; empty on a public route.
+		Account ident.Account
+		// Rank is the priority to tell the worker; 0 goes first.
+		Rank int
+		// Deadline ends the attempt and the request.
+		Deadline time.Time
+		// Engine is true where the worker runs batches.
+		Engine bool
+		// CacheFrom is the address of an engine that may hold the prompt's shared parts
+		// where Worker lacks them; empty for none.
+		CacheFrom string
+		// HeaderTimeout is when a HeaderLate is due without a response header,
+		// StallTimeout bounds the pause between events; 0 is up to the deadline.
+		HeaderTimeout time.Duration
+		StallTimeout  time.Duration
+		// Pause is kept before the request is sent.
+		Pause time.Duration
+		// Inputs are what decided.
+		Inputs Inputs
+	}
+	// Wait keeps a request until a later event yields its next decision.
+	Wait struct{ Request ident.Request }
+	// Finish ends a request.
+	Finish struct {
+		Request ident.Request
+		Verdict Verdict
+		Inputs  Inputs
+	}
+	// GiveUp ends the present attempt of a request, which goes to another worker then.
+	GiveUp struct{ Request ident.Request }
+	// ProbeConnection asks for a connection to a worker that carries no request, and for
+	// a ProbeEnded that tells what came of it.
+	ProbeConnection struct{ Worker registry.Worker }
+	// WorkerChanged tells, for the log, that this host's belief in a worker changed.
+	WorkerChanged struct {
+		Worker  registry.Worker
+		Healthy bool
+		// Failures is the row of failures that led to it; Why says what was seen.
+		Failures int
+		Why      string
+	}
+	// ZoneChanged tells, for the log, that a zone became unreachable or reachable.
+	ZoneChanged struct {
+		Zone      ident.Zone
+		Reachable bool
+		// AllOthers is set where all other zones are unreachable as well; LastFailed is
+		// the worker that was one too many.
+		AllOthers  bool
+		LastFailed ident.Target
+	}
+)
+
+func (Dispatch) decision()        {}
+func (Wait) decision()            {}
+func (Finish) decision()          {}
+func (GiveUp) decision()          {}
+func (ProbeConnection) decision() {}
+func (WorkerChanged) decision()   {}
+func (ZoneChanged) decision()     {}
+
+// Inputs are what a decision was made from, for the log.
+type Inputs struct {
+	// Number is the route table's, ConfigAge the time since the table was confirmed;
+	// negative where it never was.
+	Number    uint64
+	ConfigAge time.Duration
+	// Load is the worker's, as estimated, in requests; LoadAge the age of the part that
+	// is of other hosts. Mean is the candidates' mean load.
+	Load    int
+	LoadAge time.Duration
+	Mean    float64
+	// Choice is the worker's position in the order of preference, 0 for the first;
+	// Candidates is how many there were.
+	Choice     int
+	Candidates int
+}
+
+// Verdict is what the caller is told.
+type Verdict struct {
+	Outcome outcome.Kind
+	Code    Code
+	Reason  string
+	// RetryAfter is when the caller may come back; 0 is no advice.
+	RetryAfter time.Duration
+	// Elsewhere is set where another host likely takes the request, and this one will
+	// not for a while: the caller's connection shall not bring it more.
+	Elsewhere bool
+}
+
+// Code is the machine-readable part of a Verdict.
+type Code string
+
+// Codes of a Verdict.
+const (
+	CodeOK         Code = "ok"
+	CodeNoRoute    Code = "route_not_found"
+	CodeBadKey     Code = "invalid_api_key"
+	CodeNotReady   Code = "not_ready"
+	CodeDraining   Code = "draining"
+	CodeStale      Code = "configuration_stale"
+	CodeDuplicate  Code = "request_id_in_use"
+	CodeNoWorker   Code = "no_worker"
+	CodeOverloaded Code = "overloaded"
+	CodeBroken     Code = "worker_failed"
+	CodeDeadline   Code = "deadline_exceeded"
+	CodeCallerGone Code = "caller_gone"
+)
--- /dev/null
+++ b/core/requests/dispatch.go
@@ -0,0 +1,109 @@
+// Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
+
+package requests
+
+import (
+	"time"
+
+	"github.com/yardhall/yardhall/core/config"
+	"github.com/yardhall/yardhall/core/ident"
+	"github.com/yardhall/yardhall/core/outcome"
+)
+
+// call is one request in progress.
+type call struct {
+	req     Request
+	arrived time.Time
+	route   config.Route
+	pool    config.Pool
+	account ident.Account
+	rank    int
+	// attempt counts the attempts, sent those by which the request may have reached a
+	// worker.
+	attempt int
+	sent    int
+	// target is the worker of the present attempt, tried are all so far.
+	target ident.Target
+	tried  []ident.Target
+	// resends counts how often it was sent to the same worker once more.
+	resends int
+	// cacheHolder is the first engine that answered without success; empty for none.
+	cacheHolder ident.Target
+	// paid is set where the retry budget has already been charged for the next attempt.
+	paid bool
+	// combined joins the outcomes of the attempts so far.
+	combined outcome.Kind
+}
+
+// dispatch sends the call to the best worker, or ends it with v where there is none.
+func (t *transition) dispatch(c call, v Verdict) {
+	picked, ok := t.choose(c)
+	if !ok || !t.now.Before(c.req.Deadline) {
+		v.Outcome = c.combined
+		if v.Outcome == outcome.NotRun && v.RetryAfter == 0 {
+			v.RetryAfter = retryAfter
+		}
+		t.finish(c.req.ID, v)
+		return
+	}
+	c.target = picked.worker.ID
+	c.tried = append(c.tried[:len(c.tried):len(c.tried)], c.target)
+	t.counters.Dispatched++
+	t.send(c, picked, 0)
+}
+
+// send begins the call's next attempt, at the worker picked, after a pause.
+func (t *transition) send(c call, picked choice, pause time.Duration) {
+	c.attempt++
+	t.addInFlight(picked.worker.ID, 1)
+	t.calls = t.calls.With(c.req.ID, c)
+	header, stall := c.responseTimeouts()
+	t.out = append(t.out, Dispatch{
+		Request: c.req.ID, Attempt: c.attempt, Worker: picked.worker.Worker, Route: c.route,
+		Account: c.account, Rank: c.rank, Deadline: c.req.Deadline, Engine: c.pool.Engine,
+		CacheFrom: picked.cacheFrom, HeaderTimeout: header, StallTimeout: stall, Pause: pause,
+		Inputs: t.inputs(picked),
+	})
+}
+
+// inputs gathers what a decision is made from.
+func (t *transition) inputs(picked choice) Inputs {
+	in := Inputs{
+		Number: t.number, Mean: picked.mean, Choice: picked.position, Candidates: picked.candidates,
+		Load: t.load(picked.worker, t.now), ConfigAge: neverConfirmed,
+	}
+	if !t.confirmed.IsZero() {
+		in.ConfigAge = t.now.Sub(t.confirmed)
+	}
+	if _, asOf := t.othersLoad(picked.worker); !asOf.IsZero() {
+		in.LoadAge = t.now.Sub(asOf)
+	}
+	return in
+}
+
+// neverConfirmed is the age of a table that was never confirmed, in logs.
+const neverConfirmed = -time.Millisecond
+
+// finish ends a request.
+func (t *transition) finish(id ident.Request, v Verdict) {
+	t.calls = t.calls.Without(id)
+	if v.Code != CodeOK {
+		t.counters.Refused++
+	}
+	if v.Outcome == outcome.Unknown {
+		t.counters.Unknown++
+	}
+	t.out = append(t.out, Finish{Request: id, Verdict: v, Inputs: t.inputs(choice{})})
+}
+
+// expired ends a request whose time is over.
+func (t *transition) expired(id ident.Request) {
+	c, ok := t.calls.Get(id)
+	if !ok {
+		return
+	}
+	t.addInFlight(c.target, -1)
+	t.finish(id, Verdict{
+		Outcome: outcome.Combine(c.combined, outcome.Unknown), Code: CodeDeadline, Reason: "the deadline has passed",
+	})
+}
--- a/core/requests/resend_test.go
+++ b/core/requests/resend_test.go
@@ -85,5 +85,5 @@
 		}
 	}
 	require.Positive(t, resent)
-	require.LessOrEqual(t, float64(resent), requests.DefaultRetryExtra+requests.DefaultRetryShare*200)
+	require.LessOrEqual(t, float64(resent), requests.BudgetUsed*(requests.DefaultRetryExtra+requests.DefaultRetryShare*200))
 }
--- a/core/requests/wait_test.go
+++ b/core/requests/start_test.go
@@ -68,7 +68,7 @@
 	}
 	require.Equal(t, []ident.Request{"soon", "late"}, order)
 	require.Zero(t, s.Waiting())
-	require.Zero(t, s.Counters().WaitedInVain)
+	require.Zero(t, s.Counters().WaitedUnserved)
 }
 
 // TestWhatCannotBeServedInTimeIsRefusedAtOnce lets a request arrive whose caller waits
@@ -89,7 +89,7 @@
 	require.Empty(t, decisions)
 	s, decisions = requests.Reduce(s, requests.Tick{}, start.Add(startTime))
 	require.Equal(t, requests.CodeNotReady, only(t, decisions).(requests.Finish).Verdict.Code)
-	require.Equal(t, startTime, s.Counters().WaitedInVain)
+	require.Equal(t, startTime, s.Counters().WaitedUnserved)
 	_, d := arrive(t, s, withDeadline("2", "/safe/x", start.Add(startTime), time.Minute), start.Add(startTime))
 	require.IsType(t, requests.Finish{}, d)
 }
--- a/core/requests/patience_test.go
+++ b/core/requests/timeouts_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	s, d := arrive(t, s, request(id, path), start)
 	sent := d.(requests.Dispatch)
-	s, _ = requests.Reduce(s, requests.HeadReceived{Worker: sent.Worker.ID, Route: sent.Route.Name, Took: head}, start)
+	s, _ = requests.Reduce(s, requests.HeaderReceived{Worker: sent.Worker.ID, Route: sent.Route.Name, Took: head}, start)
 	s, _ = requests.Reduce(s, requests.AttemptEnded{Request: sent.Request, Attempt: sent.Attempt, Result: outcome.Answered{Status: 200}, Wanted: true}, start)
 	return s
 }
@@ -38,21 +38,21 @@
 	s := ready(4)
 	for path, want := range map[string]time.Duration{"/resumable/x": 250 * time.Millisecond, "/safe/x": 250 * time.Millisecond, "/once/x": 0, "/unsafe/x": 0} {
 		_, d := arrive(t, s, request("1", path), start)
-		require.Equal(t, want, d.(requests.Dispatch).HeadWait, path)
+		require.Equal(t, want, d.(requests.Dispatch).HeaderTimeout, path)
 	}
 }
 
-// TestLateHeadMovesTheRequestWithinTheBudget lets answers be late until the budget is
+// TestLateHeaderMovesTheRequestWithinTheBudget lets answers be late until the budget is
 // used up: until then each request goes to another worker, and from then on it waits
 // where it is, instead of failing.
-func TestLateHeadMovesTheRequestWithinTheBudget(t *testing.T) {
+func TestLateHeaderMovesTheRequestWithinTheBudget(t *testing.T) {
 	s := learned(t, "/resumable/x", 50*time.Millisecond)
 	moved, stayed := 0, 0
 	for i := range 300 {
 		var d requests.Decision
 		s, d = arrive(t, s, request(fmt.Sprint(i), "/resumable/x"), start)
 		sent := d.(requests.Dispatch)
-		next, decisions := requests.Reduce(s, requests.HeadLate{Request: sent.Request, Attempt: 1, Waited: sent.HeadWait}, start)
+		next, decisions := requests.Reduce(s, requests.HeaderLate{Request: sent.Request, Attempt: 1, Waited: sent.HeaderTimeout}, start)
 		s = next
 		if len(decisions) == 0 {
 			stayed++
@@ -68,7 +68,7 @@
 	}
 	require.Positive(t, moved)
 	require.Positive(t, stayed)
-	require.LessOrEqual(t, float64(moved), requests.DefaultRetryExtra+requests.DefaultRetryShare*360)
+	require.LessOrEqual(t, float64(moved), requests.BudgetUsed*(requests.DefaultRetryExtra+requests.DefaultRetryShare*360))
 }
 
 // TestPausesFollowTheUsualTimes has a worker decline after fast answers, after slow ones
--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -36,16 +36,13 @@
 	workerIdle = 10 * time.Second
 	// callerHeader is how long a caller may take to send a request's head there.
 	callerHeader = 10 * time.Second
-	// retryCaution is the part of the fleet's retry budget that is used.
-	retryCaution = 0.6
 )
 
 func gatewaySettings(s settings.Settings) requests.Settings {
 	g := s.Gateway
 	return requests.Settings{
 		Zone: ident.Zone(s.Host.Zone), KeyLease: g.KeyLease,
-		RetryShare: retryCaution * settings.Number(g.RetryShare),
-		RetryExtra: retryCaution * settings.Number(g.RetryExtra),
+		RetryShare: settings.Number(g.RetryShare), RetryExtra: settings.Number(g.RetryExtra),
 		LoadFactor: settings.Number(g.LoadFactor), StartTime: startTime(),
 	}
 }
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -75,10 +75,10 @@
 
 // awaitHead waits until the answer begins or the request goes elsewhere.
 func (x *exchange) awaitHead() error {
-	if x.dispatch.HeadWait == 0 {
+	if x.dispatch.HeaderTimeout == 0 {
 		return nil
 	}
-	x.waitFor(x.dispatch.HeadWait)
+	x.waitFor(x.dispatch.HeaderTimeout)
 	_, err := x.conn.reader.Peek(1)
 	if isTimeout(err) && x.server.givesUp(x.dispatch, x.server.now().Sub(x.sent)) {
 		return errHeadLate
--- a/gateway/reconnect_test.go
+++ b/gateway/reconnect_test.go
@@ -19,16 +19,16 @@
 type probingCore struct {
 	*fakeCore
 	worker  registry.Worker
-	reached chan requests.Reached
+	reached chan requests.ProbeEnded
 }
 
 func (c *probingCore) Route(ev requests.Event) []requests.Decision {
-	if r, ok := ev.(requests.Reached); ok {
+	if r, ok := ev.(requests.ProbeEnded); ok {
 		c.reached <- r
 	}
 	decisions := c.fakeCore.Route(ev)
 	if _, ok := ev.(requests.Arrived); ok {
-		decisions = append([]requests.Decision{requests.Reconnect{Worker: c.worker}}, decisions...)
+		decisions = append([]requests.Decision{requests.ProbeConnection{Worker: c.worker}}, decisions...)
 	}
 	return decisions
 }
@@ -43,7 +43,7 @@
 	gone := listening
 	gone.ID, gone.Address = "gone", "127.0.0.1:1"
 	for _, w := range []registry.Worker{listening, gone} {
-		c := &probingCore{fakeCore: b.core, worker: w, reached: make(chan requests.Reached, 1)}
+		c := &probingCore{fakeCore: b.core, worker: w, reached: make(chan requests.ProbeEnded, 1)}
 		server := httptest.NewServer(gateway.NewServer(gateway.Deps{Core: c, Pool: b.pool, Headers: names}))
 		req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, server.URL+"/safe/x", nil)
 		require.NoError(t, err)
@@ -54,7 +54,7 @@
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, resp.StatusCode)
 		require.NoError(t, resp.Body.Close())
-		require.Equal(t, requests.Reached{Worker: w.ID, OK: w.ID == listening.ID}, <-c.reached)
+		require.Equal(t, requests.ProbeEnded{Worker: w.ID, OK: w.ID == listening.ID}, <-c.reached)
 		server.Close()
 	}
 }
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -149,13 +149,13 @@
 
 // told hands to the core that an answer has begun, and the worker's word on its load.
 func (s *Server) told(d requests.Dispatch, h http.Header, took time.Duration) {
-	s.core.Route(requests.HeadReceived{Worker: d.Worker.ID, Load: s.headers.load(h), Route: d.Route.Name, Took: took})
+	s.core.Route(requests.HeaderReceived{Worker: d.Worker.ID, Load: s.headers.load(h), Route: d.Route.Name, Took: took})
 }
 
 // givesUp tells whether a try without an answer so far is to end, as the request goes
 // elsewhere.
 func (s *Server) givesUp(d requests.Dispatch, waited time.Duration) bool {
-	for _, decision := range s.core.Route(requests.HeadLate{Request: d.Request, Attempt: d.Attempt, Waited: waited}) {
+	for _, decision := range s.core.Route(requests.HeaderLate{Request: d.Request, Attempt: d.Attempt, Waited: waited}) {
 		if g, ok := decision.(requests.GiveUp); ok && g.Request == d.Request {
 			return true
 		}
@@ -169,7 +169,7 @@
 	var next requests.Decision
 	for _, d := range s.core.Route(ev) {
 		switch d := d.(type) {
-		case requests.Reconnect:
+		case requests.ProbeConnection:
 			go s.reconnect(d.Worker)
 		case requests.Dispatch, requests.Wait, requests.Finish:
 			next = d
@@ -185,7 +185,7 @@
 	if err == nil {
 		s.pool.put(conn, 0, s.now())
 	}
-	s.core.Route(requests.Reached{Worker: w.ID, OK: err == nil})
+	s.core.Route(requests.ProbeEnded{Worker: w.ID, OK: err == nil})
 }
 
 // serverCall is one request in progress.
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -49,7 +49,7 @@
 	c.state = next
 	var out []requests.Decision
 	for _, d := range decisions {
-		if _, note := d.(requests.Believed); !note {
+		if _, note := d.(requests.WorkerChanged); !note {
 			out = append(out, d)
 		}
 	}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -61,7 +61,7 @@
 	if resp.StatusCode != http.StatusOK || !signed {
 		return x.failure(resp, signed, r)
 	}
-	err = r.copyEvents(resp, func() { x.waitFor(x.dispatch.Stall) })
+	err = r.copyEvents(resp, func() { x.waitFor(x.dispatch.StallTimeout) })
 	x.end(resp, err == nil)
 	if err != nil {
 		return nil, outcome.Broken{Reason: err.Error(), Begun: r.begun}
