--- a/core/health/health.go
+++ b/core/health/health.go
@@ -36,15 +36,15 @@
 	// connected to.
 	unreachableBase = 500 * time.Millisecond
 	unreachableMax  = 4 * time.Second
-	// evidence is how long a good answer outweighs an absence from the list.
-	evidence = 10 * time.Second
+	// goodAnswerLifetime is how long a good answer outweighs an absence from the list.
+	goodAnswerLifetime = 10 * time.Second
 	// lostAfter is how long a target fails before it counts as gone for good.
 	lostAfter = time.Minute
-	// signLife is how long a sign of leaving counts without being renewed.
-	signLife = 30 * time.Second
-	// heardLife is the same for one heard from another host, which repeats it
+	// leavingLifetime is how long a sign of leaving counts without being renewed.
+	leavingLifetime = 30 * time.Second
+	// reportedLeavingLifetime is the same for one heard from another host, which repeats it
 	// with each heartbeat.
-	heardLife = 5 * time.Second
+	reportedLeavingLifetime = 5 * time.Second
 )
 
 // Target is the health of one target. It is immutable.
@@ -54,12 +54,12 @@
 	LastGood     time.Time
 	// FailingSince is the first of the present row of failures.
 	FailingSince time.Time
-	// SignUntil is how long the target's own word that it is leaving counts;
+	// LeavingUntil is how long the target's own word that it is leaving counts;
 	// a later report that says otherwise ends it.
-	SignUntil time.Time
-	// HeardUntil is the same by word of another host. It is not passed on.
-	HeardUntil time.Time
-	Listing    Listing
+	LeavingUntil time.Time `json:"SignUntil"`
+	// LeavingReportedUntil is the same by word of another host. It is not passed on.
+	LeavingReportedUntil time.Time `json:"HeardUntil"`
+	Listing              Listing
 	// ReportSeq is the number of the newest load report.
 	ReportSeq uint64
 	// Boot is the start of the target as reported; a new one clears signs.
@@ -72,7 +72,7 @@
 		return false
 	}
 	if t.Listing == Absent {
-		return !t.LastGood.IsZero() && now.Sub(t.LastGood) < evidence
+		return !t.LastGood.IsZero() && now.Sub(t.LastGood) < goodAnswerLifetime
 	}
 	return true
 }
@@ -84,16 +84,16 @@
 
 // Answers tells whether the target's last sign of life is good and recent.
 func (t Target) Answers(now time.Time) bool {
-	return t.Failures == 0 && !t.LastGood.IsZero() && now.Sub(t.LastGood) < evidence
+	return t.Failures == 0 && !t.LastGood.IsZero() && now.Sub(t.LastGood) < goodAnswerLifetime
 }
 
 // IsLeaving tells whether the target or the platform says that it is stopping.
 func (t Target) IsLeaving(now time.Time) bool {
-	return t.Listing == Leaving || t.Signed(now) || now.Before(t.HeardUntil)
+	return t.Listing == Leaving || t.SaysLeaving(now) || now.Before(t.LeavingReportedUntil)
 }
 
-// Signed tells whether the target itself told this host that it is leaving.
-func (t Target) Signed(now time.Time) bool { return now.Before(t.SignUntil) }
+// SaysLeaving tells whether the target itself told this host that it is leaving.
+func (t Target) SaysLeaving(now time.Time) bool { return now.Before(t.LeavingUntil) }
 
 // Ejected tells whether failures alone keep new work away.
 func (t Target) Ejected(now time.Time) bool { return !t.IsLeaving(now) && now.Before(t.EjectedUntil) }
@@ -130,19 +130,19 @@
 // maxShift keeps the doubling within range.
 const maxShift = 10
 
-// WithSign records the target's own word on whether it is leaving.
-func (t Target) WithSign(leaving bool, now time.Time) Target {
+// WithLeaving records the target's own word on whether it is leaving.
+func (t Target) WithLeaving(leaving bool, now time.Time) Target {
 	if leaving {
-		t.SignUntil = now.Add(signLife)
+		t.LeavingUntil = now.Add(leavingLifetime)
 		return t
 	}
-	t.SignUntil, t.HeardUntil = time.Time{}, time.Time{}
+	t.LeavingUntil, t.LeavingReportedUntil = time.Time{}, time.Time{}
 	return t
 }
 
-// WithHeardSign records another host's word that the target is leaving.
-func (t Target) WithHeardSign(now time.Time) Target {
-	t.HeardUntil = now.Add(heardLife)
+// WithReportedLeaving records another host's word that the target is leaving.
+func (t Target) WithReportedLeaving(now time.Time) Target {
+	t.LeavingReportedUntil = now.Add(reportedLeavingLifetime)
 	return t
 }
 
@@ -159,5 +159,5 @@
 		return t, false
 	}
 	t.Boot, t.ReportSeq = boot, seq
-	return t.WithSign(leaving, now).WithResult(true, now), true
+	return t.WithLeaving(leaving, now).WithResult(true, now), true
 }
--- a/core/host/admit.go
+++ b/core/host/admit.go
@@ -26,7 +26,7 @@
 }
 
 // admit resolves account, service, class and limits.
-func (t *turn) admit(c *call) (Verdict, bool) {
+func (t *transition) admit(c *call) (Verdict, bool) {
 	if !t.ready {
 		return Verdict{
 			Outcome: outcome.NotRun, Code: CodeNotReady, RetryAfter: retryLater,
@@ -47,7 +47,7 @@
 	return t.admitLimits(c.account)
 }
 
-func (t *turn) admitService(c *call) (Verdict, bool) {
+func (t *transition) admitService(c *call) (Verdict, bool) {
 	if c.req.Model != "" {
 		m, ok := t.config.Models.Get(c.req.Model)
 		if !ok {
@@ -81,7 +81,7 @@
 	return b
 }
 
-func (t *turn) admitClass(c *call) (Verdict, bool) {
+func (t *transition) admitClass(c *call) (Verdict, bool) {
 	allowed := c.account.Classes
 	id := c.req.Class
 	if id == "" && len(allowed) > 0 {
@@ -104,7 +104,7 @@
 
 // admitLimits holds the account to its limits: requests in flight on this
 // host, and this host's part of its fleet-wide rate.
-func (t *turn) admitLimits(a config.Account) (Verdict, bool) {
+func (t *transition) admitLimits(a config.Account) (Verdict, bool) {
 	use, _ := t.accounts.Get(a.ID)
 	if a.MaxInFlight > 0 && use.inFlight >= a.MaxInFlight {
 		return Verdict{
@@ -141,7 +141,7 @@
 	return u
 }
 
-func (t *turn) useAccount(id ident.Account, n int) {
+func (t *transition) useAccount(id ident.Account, n int) {
 	use, _ := t.accounts.Get(id)
 	use.inFlight += n
 	t.accounts = t.accounts.With(id, use)
--- a/core/host/call.go
+++ b/core/host/call.go
@@ -81,10 +81,10 @@
 	denied Verdict
 }
 
-func (t *turn) put(c call) { t.calls = t.calls.With(c.req.ID, c) }
+func (t *transition) put(c call) { t.calls = t.calls.With(c.req.ID, c) }
 
 // arrive checks a request and starts it on its way.
-func (t *turn) arrive(r Request) {
+func (t *transition) arrive(r Request) {
 	t.counters.Requests++
 	t.budget = min(maxBudget, t.budget+budgetPerRequest)
 	if r.Deadline.IsZero() {
@@ -106,7 +106,7 @@
 
 // refuse tells the caller how the request ended. Only a decided claim proves
 // that nothing ran under a key before.
-func (t *turn) refuse(c call, v Verdict) {
+func (t *transition) refuse(c call, v Verdict) {
 	if c.req.IdempotencyKey != "" && !c.decided && v.Outcome == outcome.NotRun {
 		// This attempt did not run, but an earlier one under its key may have.
 		v.Outcome = outcome.Unknown
@@ -115,7 +115,7 @@
 	t.emit(Finish{Request: c.req.ID, Verdict: v})
 }
 
-func (t *turn) countOutcome(k outcome.Kind) {
+func (t *transition) countOutcome(k outcome.Kind) {
 	switch k {
 	case outcome.Ran:
 		t.counters.Ran++
@@ -127,7 +127,7 @@
 }
 
 // finish ends an admitted call: its place is freed, its claim settled.
-func (t *turn) finish(c call, v Verdict) {
+func (t *transition) finish(c call, v Verdict) {
 	t.calls = t.calls.Without(c.req.ID)
 	t.useAccount(c.account.ID, -1)
 	t.leave(c)
@@ -138,7 +138,7 @@
 }
 
 // leave gives back what the call holds on a target or in a queue.
-func (t *turn) leave(c call) {
+func (t *transition) leave(c call) {
 	if c.target != "" {
 		t.useTarget(c.target, -1)
 	}
@@ -147,7 +147,7 @@
 	}
 }
 
-func (t *turn) useTarget(id ident.Target, n int) {
+func (t *transition) useTarget(id ident.Target, n int) {
 	have, _ := t.inFlight.Get(id)
 	if have+n <= 0 {
 		t.inFlight = t.inFlight.Without(id)
@@ -156,7 +156,7 @@
 	t.inFlight = t.inFlight.With(id, have+n)
 }
 
-func (t *turn) dispatch(c call, id ident.Target) {
+func (t *transition) dispatch(c call, id ident.Target) {
 	target, ok := t.config.Targets.Get(id)
 	if !ok || !t.now.Before(c.req.Deadline) {
 		t.finish(c, Verdict{Outcome: c.worst, Code: CodeDeadline, Reason: "the deadline passed before a target was found"})
@@ -175,7 +175,7 @@
 }
 
 // attemptEnded decides what follows a try.
-func (t *turn) attemptEnded(ev AttemptEnded) {
+func (t *transition) attemptEnded(ev AttemptEnded) {
 	c, ok := t.calls.Get(ev.Request)
 	if !ok {
 		return
@@ -208,14 +208,14 @@
 	}
 }
 
-func (t *turn) jitter() time.Duration {
+func (t *transition) jitter() time.Duration {
 	t.draws++
 	r := rand.New(rand.NewPCG(t.seed, t.draws)) //nolint:gosec // Jitter must be reproducible, not secret.
 	return time.Duration(r.Int64N(int64(retryJitter)))
 }
 
 // retry tries another target if tries, budget and deadline allow.
-func (t *turn) retry(c call, v Verdict, pause time.Duration) {
+func (t *transition) retry(c call, v Verdict, pause time.Duration) {
 	v.Outcome = c.worst
 	v.RetryAfter = retryLater
 	if c.attempt >= maxTries || t.budget < 1 || !t.now.Add(pause).Before(c.req.Deadline) {
@@ -235,7 +235,7 @@
 }
 
 // learn takes the result of a try as a sign of the target's health.
-func (t *turn) learn(id ident.Target, a outcome.Attempt) {
+func (t *transition) learn(id ident.Target, a outcome.Attempt) {
 	h, _ := t.health.Get(id)
 	was := h.Usable(t.now)
 	switch a := a.(type) {
@@ -243,7 +243,7 @@
 		t.setHealth(id, h.WithResult(true, t.now), was)
 	case outcome.Declined:
 		if a.Leaving {
-			t.setHealth(id, h.WithSign(true, t.now), was)
+			t.setHealth(id, h.WithLeaving(true, t.now), was)
 		}
 	case outcome.NeverSent, outcome.Broken:
 		t.setHealth(id, h.WithResult(false, t.now), was)
@@ -252,7 +252,7 @@
 }
 
 // tickCalls moves on the calls whose phase has lasted too long.
-func (t *turn) tickCalls() {
+func (t *transition) tickCalls() {
 	var due []call
 	for _, c := range t.calls.All() {
 		if !c.wake.IsZero() && !t.now.Before(c.wake) {
@@ -264,7 +264,7 @@
 	}
 }
 
-func (t *turn) wake(c call) {
+func (t *transition) wake(c call) {
 	expired := !t.now.Before(c.req.Deadline)
 	switch {
 	case c.phase == phaseClaiming:
--- a/core/host/capacity_test.go
+++ b/core/host/capacity_test.go
@@ -175,15 +175,15 @@
 			})
 		}),
 		measureSlope("group in a heartbeat", "bytes", []int{1, 2, 4}, func(n int) float64 {
-			beat := host.Beat{Host: "host-a1", Incarnation: 1 << 60, Counter: 1000, Version: 1000, Serves: true, Zone: "zone-a"}
+			beat := host.Heartbeat{Host: "host-a1", Incarnation: 1 << 60, Counter: 1000, Version: 1000, Serves: true, Zone: "zone-a"}
 			for i := range n {
 				beat.Loads = append(beat.Loads, routing.GroupLoad{Group: routing.GroupID{Service: "text", Zone: "zone-a", Shard: i}, Load: 480, Usable: 24})
 			}
-			return encodedSize(host.Gossip{Beat: beat})
+			return encodedSize(host.PeerHeartbeat{Beat: beat})
 		}),
 		measureSlope("worker with load, in a question to a replica and its answer", "bytes", []int{0, 60, 240}, func(n int) float64 {
-			q := host.Sync{Round: 1 << 20, Version: 1000, Lead: true, Epoch: 1 << 41, Revision: 1000, Serves: true, Loads: digest(n / 10), Sums: true}
-			a := host.SyncAnswer{
+			q := host.Poll{Round: 1 << 20, Version: 1000, Lead: true, Epoch: 1 << 41, Revision: 1000, Serves: true, Loads: digest(n / 10), Sums: true}
+			a := host.PollReply{
 				Round: 1 << 20, Leader: "10.1.0.43:7340", Fresh: true, Version: 1000, Epoch: 1 << 41, Since: 1000, Revision: 1000,
 				Replicas: []ident.Host{"10.1.0.43:7340", "10.2.0.31:7340", "10.3.0.21:7340"}, Hosts: 390, Summed: true, Loads: digest(n),
 			}
--- a/core/host/claim.go
+++ b/core/host/claim.go
@@ -11,7 +11,7 @@
 )
 
 // claim asks the replicated state for the right to run.
-func (t *turn) claim(c call) {
+func (t *transition) claim(c call) {
 	c.phase = phaseClaiming
 	c.wake = earlier(c.req.Deadline, t.now.Add(claimTimeout))
 	t.put(c)
@@ -26,7 +26,7 @@
 }
 
 // claimAnswered goes on with a call whose claim was decided.
-func (t *turn) claimAnswered(id ident.Request, r catalog.Result, known bool) {
+func (t *transition) claimAnswered(id ident.Request, r catalog.Result, known bool) {
 	c, ok := t.calls.Get(id)
 	if !ok || c.phase != phaseClaiming {
 		t.dropClaim(id, r, known)
@@ -60,13 +60,13 @@
 const fetchTimeout = time.Second
 
 // fetchAnswer asks the host that ran the earlier request for its answer.
-func (t *turn) fetchAnswer(c call, earlier catalog.Claim) {
+func (t *transition) fetchAnswer(c call, earlier catalog.Claim) {
 	c.phase, c.wake = phaseFetching, t.now.Add(fetchTimeout)
 	t.put(c)
 	t.send(earlier.Host, FetchAnswer{Request: earlier.Request, For: c.req.ID})
 }
 
-func (t *turn) answerOf(m AnswerOf) {
+func (t *transition) answerOf(m AnswerOf) {
 	c, ok := t.calls.Get(m.For)
 	if !ok || c.phase != phaseFetching {
 		return
@@ -97,17 +97,17 @@
 }
 
 // dropClaim gives back a claim whose caller left before it was granted.
-func (t *turn) dropClaim(id ident.Request, r catalog.Result, known bool) {
+func (t *transition) dropClaim(id ident.Request, r catalog.Result, known bool) {
 	if known && r.Code == catalog.OK && r.Claim.Request == id {
 		t.submitEnd(r.Claim.Key, id, outcome.NotRun)
 	}
 }
 
-func (t *turn) endClaim(c call, k outcome.Kind) {
+func (t *transition) endClaim(c call, k outcome.Kind) {
 	t.submitEnd(catalog.ClaimKey{Account: c.account.ID, Key: c.req.IdempotencyKey}, c.req.ID, k)
 }
 
-func (t *turn) submitEnd(key catalog.ClaimKey, id ident.Request, k outcome.Kind) {
+func (t *transition) submitEnd(key catalog.ClaimKey, id ident.Request, k outcome.Kind) {
 	t.submit(catalog.Write{
 		ID: "end/" + string(id), Actor: string(t.settings.ID),
 		Command: catalog.EndClaim{Key: key, Request: id, Outcome: k},
--- a/core/host/earlier_test.go
+++ b/core/host/earlier_test.go
@@ -73,7 +73,7 @@
 	require.True(t, f.put(f.leader(), f.table(1, "k"), 3*time.Second))
 	f.run(time.Second)
 	f.seen = func(p seededPacket) {
-		a, ok := p.message.(host.SyncAnswer)
+		a, ok := p.message.(host.PollReply)
 		if ok && p.to == entryName(0) {
 			require.Empty(t, a.Gateway, "a table that the present process holds")
 		}
--- a/core/host/effect.go
+++ b/core/host/effect.go
@@ -76,9 +76,9 @@
 		ID string
 		OK bool
 	}
-	// BeatAnswer answers a worker: whether its word was taken, and the ip:port
+	// HeartbeatAnswer answers a worker: whether its word was taken, and the ip:port
 	// for its next heartbeats, empty for no change.
-	BeatAnswer struct {
+	HeartbeatAnswer struct {
 		Taken bool
 		Relay string
 	}
@@ -96,7 +96,7 @@
 func (KnowHosts) effect()       {}
 func (RequestDecision) effect() {}
 func (AnswerRead) effect()      {}
-func (BeatAnswer) effect()      {}
+func (HeartbeatAnswer) effect() {}
 
 // NoteKind names a change of state.
 type NoteKind string
--- a/core/host/event.go
+++ b/core/host/event.go
@@ -57,8 +57,8 @@
 		OK    bool
 		Error string
 	}
-	// DiskSynced reports that a raft.Persist is on disk.
-	DiskSynced struct{ Persisted raft.Persisted }
+	// EntriesPersisted reports that a raft.Persist is on disk.
+	EntriesPersisted struct{ Persisted raft.Persisted }
 	// Drain begins the planned stop of this process.
 	Drain struct{}
 	// ReplicaChange asks the leader to add, promote or remove a replica.
@@ -68,10 +68,10 @@
 	}
 	// RequestEvent is an event of the gateway.
 	RequestEvent struct{ Event requests.Event }
-	// Beaten is a worker's heartbeat. A BeatAnswer follows at once.
-	Beaten struct{ Worker registry.Worker }
-	// Left is a worker's word that it ends. A BeatAnswer follows at once.
-	Left struct{ Worker ident.Target }
+	// HeartbeatReceived is a worker's heartbeat. A BeatAnswer follows at once.
+	HeartbeatReceived struct{ Worker registry.Worker }
+	// DeregistrationReceived is a worker's word that it ends. A BeatAnswer follows at once.
+	DeregistrationReceived struct{ Worker ident.Target }
 	// Read asks whether the configuration held is the newest one.
 	Read struct {
 		ID       string
@@ -81,22 +81,22 @@
 	Reseeded struct{ Seeds []ident.Host }
 )
 
-func (Tick) event()          {}
-func (Received) event()      {}
-func (Arrived) event()       {}
-func (AttemptEnded) event()  {}
-func (Reported) event()      {}
-func (Listed) event()        {}
-func (Submitted) event()     {}
-func (OrderEnded) event()    {}
-func (DiskSynced) event()    {}
-func (Drain) event()         {}
-func (ReplicaChange) event() {}
-func (RequestEvent) event()  {}
-func (Beaten) event()        {}
-func (Left) event()          {}
-func (Read) event()          {}
-func (Reseeded) event()      {}
+func (Tick) event()                   {}
+func (Received) event()               {}
+func (Arrived) event()                {}
+func (AttemptEnded) event()           {}
+func (Reported) event()               {}
+func (Listed) event()                 {}
+func (Submitted) event()              {}
+func (OrderEnded) event()             {}
+func (EntriesPersisted) event()       {}
+func (Drain) event()                  {}
+func (ReplicaChange) event()          {}
+func (RequestEvent) event()           {}
+func (HeartbeatReceived) event()      {}
+func (DeregistrationReceived) event() {}
+func (Read) event()                   {}
+func (Reseeded) event()               {}
 
 // ListedTarget is one line of the platform's list.
 type ListedTarget struct {
--- a/core/host/fanout_test.go
+++ b/core/host/fanout_test.go
@@ -32,7 +32,7 @@
 			queue = queue[1:]
 			for _, e := range effects {
 				if p, ok := e.(host.Persist); ok {
-					queue = append(queue, host.DiskSynced{Persisted: raft.Persisted{Index: p.Persist.Index, Term: p.Persist.Term}})
+					queue = append(queue, host.EntriesPersisted{Persisted: raft.Persisted{Index: p.Persist.Index, Term: p.Persist.Term}})
 				}
 				out = append(out, e)
 			}
@@ -124,7 +124,7 @@
 				s, _ = host.Reduce(s, host.Tick{}, at)
 			}
 			last := s.Raft().Log().Last()
-			s, _ = host.Reduce(s, host.DiskSynced{Persisted: raft.Persisted{Index: last, Term: s.Raft().Term()}}, at)
+			s, _ = host.Reduce(s, host.EntriesPersisted{Persisted: raft.Persisted{Index: last, Term: s.Raft().Term()}}, at)
 			require.Equal(b, last, s.Raft().CommitIndex())
 		}
 	}
--- a/core/host/follow.go
+++ b/core/host/follow.go
@@ -27,13 +27,13 @@
 
 // follower is a host that follows this replica.
 type follower struct {
-	version config.Version
-	heard   time.Time
+	version    config.Version
+	lastFollow time.Time
 }
 
 // tickFollow asks for configuration. A replica has its own, but it too is
 // ready only once a leader is known.
-func (t *turn) tickFollow() {
+func (t *transition) tickFollow() {
 	if t.raft.Active() {
 		t.tickReplicaReady()
 	}
@@ -60,7 +60,7 @@
 
 // tickReplicaReady makes a replica ready when it holds a configuration and is
 // in touch with a leader, or has waited long enough to serve cut off.
-func (t *turn) tickReplicaReady() {
+func (t *transition) tickReplicaReady() {
 	if t.ready || t.config.Version == 0 {
 		return
 	}
@@ -70,7 +70,7 @@
 }
 
 // enterSelf makes a replica known to the leader as a host like any other.
-func (t *turn) enterSelf() {
+func (t *transition) enterSelf() {
 	self := t.selfHost()
 	have, _ := t.config.Hosts.Get(self.ID)
 	self.Rev = have.Rev
@@ -81,14 +81,14 @@
 
 // entered tells whether this host stands in the configuration: before that no
 // group could have it for its owner.
-func (t *turn) entered() bool { return t.config.Hosts.Has(t.settings.ID) }
+func (t *transition) entered() bool { return t.config.Hosts.Has(t.settings.ID) }
 
-func (t *turn) becomeReady(how string) {
+func (t *transition) becomeReady(how string) {
 	t.ready = true
 	t.note(NoteReady, string(t.settings.ID), fmt.Sprintf("version=%d from %s", t.config.Version, how))
 }
 
-func (t *turn) selfHost() config.Host {
+func (t *transition) selfHost() config.Host {
 	s := t.settings
 	return config.Host{ID: s.ID, Zone: s.Zone, Address: s.Address, Serves: s.Serves}
 }
@@ -96,7 +96,7 @@
 // followTarget picks the replica to ask: always the same one, so that the load
 // spreads; another one while that is not heard from, and in turn before the
 // first configuration.
-func (t *turn) followTarget() (ident.Host, bool) {
+func (t *transition) followTarget() (ident.Host, bool) {
 	replicas := t.settings.Replicas
 	if len(replicas) == 0 {
 		return "", false
@@ -116,23 +116,23 @@
 	return hash.Best(hash.Of(string(t.settings.ID)), alive, func(h ident.Host) string { return string(h) })
 }
 
-func (t *turn) zoneHosts() []config.Host {
+func (t *transition) zoneHosts() []config.Host {
 	return slices.DeleteFunc(slices.Clone(t.settings.Neighbours), func(h config.Host) bool {
 		return h.Zone != t.settings.Zone || h.ID == t.settings.ID
 	})
 }
 
-// follow answers a host that asks for configuration. A leader also enters a
+// followReceived answers a host that asks for configuration. A leader also enters a
 // host that is new or has moved.
-func (t *turn) follow(from ident.Host, m Follow) {
+func (t *transition) followReceived(from ident.Host, m Follow) {
 	if t.raft.Active() {
-		t.followers = t.followers.With(from, follower{version: m.Version, heard: t.now})
+		t.followers = t.followers.With(from, follower{version: m.Version, lastFollow: t.now})
 		t.registerHost(from, m.Host)
 	}
 	t.sendChanges(from, m.Version)
 }
 
-func (t *turn) registerHost(from ident.Host, h config.Host) {
+func (t *transition) registerHost(from ident.Host, h config.Host) {
 	if h.ID != from || !t.raft.LeaseHeld(t.now) {
 		return
 	}
@@ -150,7 +150,7 @@
 
 // sendChanges answers with what came after version. Hosts that keep no log
 // answer from what they follow, so that a cut-off zone can help itself.
-func (t *turn) sendChanges(to ident.Host, version config.Version) {
+func (t *transition) sendChanges(to ident.Host, version config.Version) {
 	fresh := t.raft.LeaseHeld(t.now)
 	leader := t.leaderHint()
 	if t.raft.Active() {
@@ -167,9 +167,9 @@
 }
 
 // pushChanges sends new changes at once to the hosts that follow this replica.
-func (t *turn) pushChanges() {
+func (t *transition) pushChanges() {
 	for id, f := range t.followers.All() {
-		if t.now.Sub(f.heard) > followerLife {
+		if t.now.Sub(f.lastFollow) > followerLife {
 			t.followers = t.followers.Without(id)
 			continue
 		}
@@ -179,11 +179,11 @@
 	}
 }
 
-func (t *turn) changes(from ident.Host, m Changes) {
+func (t *transition) changesReceived(from ident.Host, m Changes) {
 	if t.raft.Active() {
 		return
 	}
-	t.heardLeader(m.Leader)
+	t.noteLeader(m.Leader)
 	cfg := t.config
 	for _, d := range m.Deltas {
 		if d.Version != cfg.Version+1 {
@@ -205,15 +205,15 @@
 	}
 }
 
-func (t *turn) wholeConfig(from ident.Host, m WholeConfig) {
+func (t *transition) wholeConfigReceived(from ident.Host, m WholeConfig) {
 	if t.raft.Active() {
 		return
 	}
-	t.heardLeader(m.Leader)
+	t.noteLeader(m.Leader)
 	t.takeConfig(config.FromDocument(m.Document), m.Document.Version, m.Fresh, from)
 }
 
-func (t *turn) heardLeader(leader ident.Host) {
+func (t *transition) noteLeader(leader ident.Host) {
 	if leader != "" {
 		t.leader = leader
 	}
@@ -222,7 +222,7 @@
 // takeConfig puts cfg in force unless it is older than what is in force, and
 // decides whether this host may serve: after a word from a leader with a lease
 // or, cut off at start, with the best that the zone had.
-func (t *turn) takeConfig(cfg config.Config, newest config.Version, fresh bool, from ident.Host) {
+func (t *transition) takeConfig(cfg config.Config, newest config.Version, fresh bool, from ident.Host) {
 	if cfg.Version < t.config.Version {
 		t.counters.StaleConfig++
 		return
@@ -239,7 +239,7 @@
 }
 
 // useConfig puts a configuration in force in this process.
-func (t *turn) useConfig(cfg config.Config) {
+func (t *transition) useConfig(cfg config.Config) {
 	if cfg.Version < t.config.Version {
 		t.counters.StaleConfig++
 		return
@@ -247,7 +247,7 @@
 	hostsMoved := t.config.Hosts != cfg.Hosts
 	t.config = cfg
 	t.requests = t.requests.WithConfig(cfg.Gateway)
-	t.noteNewest(cfg.Version)
+	t.noteNewestTable(cfg.Version)
 	t.rememberTable(cfg)
 	t.counters.ConfigApplied++
 	if hostsMoved {
--- a/core/host/host.go
+++ b/core/host/host.go
@@ -121,11 +121,11 @@
 	followers table.Table[ident.Host, follower]
 
 	// Other hosts.
-	peers  table.Table[ident.Host, peer]
-	beatAt time.Time
+	peers       table.Table[ident.Host, peer]
+	heartbeatAt time.Time
 	// loads are the live owners' reports by service; never changed in place.
-	loads map[ident.Service][]routing.GroupLoad
-	beat  uint64
+	loads      map[ident.Service][]routing.GroupLoad
+	heartbeats uint64
 
 	// Targets.
 	health  table.Table[ident.Target, health.Target]
@@ -151,7 +151,7 @@
 
 	// Seeded fleets: what this host knows of the replicas, and what a replica
 	// knows of those that sync with it.
-	sync     syncState
+	seeded   seededState
 	registry registry.Registry
 	requests requests.State
 	reads    table.Table[string, pendingRead]
@@ -181,11 +181,12 @@
 	Adopted       uint64
 	Ejections     uint64
 	Repairs       uint64
-	// Beats counts workers' heartbeats taken here, BeatsNamed those answered with a
-	// relay for the next ones, BeatsDeclined those that this host did not take.
-	Beats         uint64
-	BeatsNamed    uint64
-	BeatsDeclined uint64
+	// Heartbeats counts workers' heartbeats taken here, HeartbeatsRedirected those of
+	// them answered with a relay for the next ones, HeartbeatsDeclined those that this
+	// host did not take. Their JSON names are those of the metrics port.
+	Heartbeats           uint64 `json:"Beats"`
+	HeartbeatsRedirected uint64 `json:"BeatsNamed"`
+	HeartbeatsDeclined   uint64 `json:"BeatsDeclined"`
 }
 
 // New returns the process as it starts at now.
@@ -217,7 +218,7 @@
 
 // Reduce is the transition of a process.
 func Reduce(s State, ev Event, now time.Time) (State, []Effect) {
-	t := turn{State: s, now: now}
+	t := transition{State: s, now: now}
 	switch ev := ev.(type) {
 	case Tick:
 		t.tick()
@@ -235,18 +236,18 @@
 		t.submit(ev.Write, ev.Deadline)
 	case OrderEnded:
 		t.orderEnded(ev)
-	case DiskSynced:
+	case EntriesPersisted:
 		t.stepRaft(ev.Persisted)
 	case Drain:
 		t.drain()
 	case ReplicaChange:
 		t.stepRaft(raft.ChangeMember{Member: ev.Member, Remove: ev.Remove})
 	case RequestEvent:
-		t.routed(ev.Event)
-	case Beaten:
-		t.beatHeard(ev.Worker)
-	case Left:
-		t.leaveHeard(ev.Worker)
+		t.reduceRequests(ev.Event)
+	case HeartbeatReceived:
+		t.heartbeatReceived(ev.Worker)
+	case DeregistrationReceived:
+		t.deregistrationReceived(ev.Worker)
 	case Read:
 		t.read(ev)
 	case Reseeded:
@@ -255,21 +256,21 @@
 	return t.State, t.out
 }
 
-// turn is the working copy of one transition.
-type turn struct {
+// transition is the working copy of one transition.
+type transition struct {
 	State
 	now time.Time
 	out []Effect
 }
 
-func (t *turn) emit(e Effect) { t.out = append(t.out, e) }
+func (t *transition) emit(e Effect) { t.out = append(t.out, e) }
 
-func (t *turn) note(kind NoteKind, object, detail string) {
+func (t *transition) note(kind NoteKind, object, detail string) {
 	t.emit(Note{Kind: kind, Object: object, Detail: detail})
 }
 
 // send transmits m, or delivers it at once where it is for this process.
-func (t *turn) send(to ident.Host, m Message) {
+func (t *transition) send(to ident.Host, m Message) {
 	to = to.Address()
 	if to == t.settings.ID {
 		t.receive(to, m)
@@ -278,7 +279,7 @@
 	t.emit(Send{To: to, Message: m})
 }
 
-func (t *turn) tick() {
+func (t *transition) tick() {
 	t.stepRaft(raft.Tick{})
 	if t.settings.Seeded() {
 		t.tickSeeded()
@@ -294,12 +295,12 @@
 	t.maybeCompact()
 }
 
-func (t *turn) receive(from ident.Host, m Message) {
+func (t *transition) receive(from ident.Host, m Message) {
 	switch m := m.(type) {
 	case Raft:
 		t.receiveRaft(from, m)
-	case Gossip:
-		t.gossip(from, m.Beat)
+	case PeerHeartbeat:
+		t.peerHeartbeat(from, m.Beat)
 	case AskPlace:
 		t.askPlace(from, m)
 	case PlaceAnswer:
@@ -317,33 +318,33 @@
 	case AnswerOf:
 		t.answerOf(m)
 	case Follow:
-		t.follow(from, m)
+		t.followReceived(from, m)
 	case Changes:
-		t.changes(from, m)
+		t.changesReceived(from, m)
 	case WholeConfig:
-		t.wholeConfig(from, m)
+		t.wholeConfigReceived(from, m)
 	case ForwardWrite:
 		t.forwardWrite(from, m)
 	case WriteAnswered:
 		t.writeAnswered(m.ID, m.Result)
-	case Sync:
-		t.syncAsked(from, m)
-	case SyncAnswer:
-		t.syncAnswered(from, m)
-	case ForceAsk:
-		t.forceAsked(from, m)
+	case Poll:
+		t.pollReceived(from, m)
+	case PollReply:
+		t.pollReplied(from, m)
+	case AwaitInForce:
+		t.awaitInForceReceived(from, m)
 	case Join:
-		t.joined(m)
-	case ReadAsk:
-		t.readAsked(from, m)
-	case ReadAnswer:
-		t.readAnswered(m)
+		t.joinRequested(m)
+	case ReadRequest:
+		t.readRequested(from, m)
+	case ReadReply:
+		t.readReplied(m)
 	}
 }
 
 // receiveRaft takes a message of the replicated log, unless it is meant for a
 // replica whose disk this host no longer has.
-func (t *turn) receiveRaft(from ident.Host, m Raft) {
+func (t *transition) receiveRaft(from ident.Host, m Raft) {
 	if m.To == "" {
 		t.stepRaft(raft.Receive{From: from, Message: m.Message})
 		return
@@ -353,14 +354,14 @@
 	}
 }
 
-func (t *turn) drain() {
+func (t *transition) drain() {
 	if t.draining {
 		return
 	}
 	t.draining = true
 	t.note(NoteDrain, string(t.settings.ID), "")
 	if !t.settings.Seeded() {
-		t.sendBeats()
+		t.sendHeartbeats()
 		t.ownersChanged()
 	}
 	t.stepRaft(raft.HandOver{})
--- a/core/host/hub.go
+++ b/core/host/hub.go
@@ -27,26 +27,26 @@
 	// defaultHubsAbove is the number of entry hosts above which hubs are named. They
 	// stay until there are fewer than hubsStay hundredths of that.
 	defaultHubsAbove = 40
-	hubsStay         = 75
-	// hubGroup is how many hosts a hub is meant to serve, minZoneHubs the least
+	hubsStayPercent  = 75
+	// hostsPerHub is how many hosts a hub is meant to serve, minZoneHubs the least
 	// number of hubs in a zone.
-	hubGroup    = 16
-	minZoneHubs = 2
-	// maxHubsAsked is how many hubs a host asks.
-	maxHubsAsked = 2
+	hostsPerHub    = 16
+	minHubsPerZone = 2
+	// hubsPolled is how many hubs a host asks.
+	hubsPolled = 2
 	// hubTimeout is how long a hub may give no useful answer before another one is
 	// asked, hubAvoided how long it is then passed over.
-	hubTimeout = 1200 * time.Millisecond
-	hubAvoided = 5 * time.Second
+	hubTimeout   = 1200 * time.Millisecond
+	hubAvoidance = 5 * time.Second
 	// hubWarmUp is how long a replica that starts hears hosts before it names hubs.
 	hubWarmUp = 1700 * time.Millisecond
-	// hubsSettle is how long another list of hubs must have been the same before it
+	// hubListSettle is how long another list of hubs must have been the same before it
 	// takes the place of the one in force: longer than hosts need to turn to hubs and
 	// hubs to tell whom they count.
-	hubsSettle = 2500 * time.Millisecond
-	// groupInterval is the time between two words of a hub on whom it counts, where
+	hubListSettle = 2500 * time.Millisecond
+	// groupReportInterval is the time between two words of a hub on whom it counts, where
 	// nothing changes.
-	groupInterval = 1500 * time.Millisecond
+	groupReportInterval = 1500 * time.Millisecond
 )
 
 // EntryHost is an entry host of a seeded fleet, as others are told of it.
@@ -67,54 +67,54 @@
 	// nextKey is the key of the list last made on a replica, the same since nextSince.
 	nextKey   hash.Key
 	nextSince time.Time
-	// asked are the hubs that this host asks, since when; avoided those that did
+	// polled are the hubs that this host asks, since when; avoided those that did
 	// not answer.
-	asked   table.Table[ident.Host, time.Time]
+	polled  table.Table[ident.Host, time.Time]
 	avoided table.Table[ident.Host, time.Time]
 	// usefulAt is when any hub gave a useful answer last, directAt when replicas are
 	// next asked because none does.
-	usefulAt time.Time
-	directAt time.Time
+	usefulAt       time.Time
+	pollReplicasAt time.Time
 	// serves is set for good once this host was named a hub: from then on it keeps
 	// registrations and answers who asks.
 	serves bool
-	// outside are the requests of the hosts that this hub does not count, as of
+	// outsideLoads are the requests of the hosts that this hub does not count, as of
 	// about outsideAt.
-	outside   loads.Digest
-	outsideAt time.Time
-	// askedLast are the hosts asked last, replicas included.
-	askedLast []ident.Host
-	// toldGroup is the hash of the group last told, at groupAt.
-	toldGroup hash.Key
-	groupAt   time.Time
+	outsideLoads   loads.Digest
+	outsideLoadsAt time.Time
+	// polledLast are the hosts asked last, replicas included.
+	polledLast []ident.Host
+	// reportedGroup is the hash of the group last told, at groupAt.
+	reportedGroup   hash.Key
+	groupReportedAt time.Time
 }
 
 // isHub tells whether this host asks replicas for others.
-func (t *turn) isHub() bool {
-	return t.named() || t.sync.hub.serves && t.counts()
+func (t *transition) isHub() bool {
+	return t.isNamedHub() || t.seeded.hub.serves && t.isPrimaryOfAny()
 }
 
-// counts tells whether some host has this hub for its home.
-func (t *turn) counts() bool {
-	for _, c := range t.sync.clients.All() {
-		if c.home && t.now.Sub(c.heard) <= syncLife {
+// isPrimaryOfAny tells whether some host has this hub for its home.
+func (t *transition) isPrimaryOfAny() bool {
+	for _, c := range t.seeded.clients.All() {
+		if c.primary && t.now.Sub(c.lastPoll) <= clientLifetime {
 			return true
 		}
 	}
 	return false
 }
 
-// followsHubs tells whether this host asks hubs in place of replicas.
-func (t *turn) followsHubs() bool {
-	return len(t.sync.hub.list) > 0 && !t.settings.IsReplica() && !t.isHub()
+// pollsHubs tells whether this host asks hubs in place of replicas.
+func (t *transition) pollsHubs() bool {
+	return len(t.seeded.hub.list) > 0 && !t.settings.IsReplica() && !t.isHub()
 }
 
-// answersSync tells whether this host answers questions of others.
-func (t *turn) answersSync() bool { return t.settings.IsReplica() || t.sync.hub.serves }
+// answersPolls tells whether this host answers questions of others.
+func (t *transition) answersPolls() bool { return t.settings.IsReplica() || t.seeded.hub.serves }
 
-// home is the hub that counts this host; empty where replicas do.
-func (t *turn) home() ident.Host {
-	if !t.followsHubs() {
+// primaryHub is the hub that counts this host; empty where replicas do.
+func (t *transition) primaryHub() ident.Host {
+	if !t.pollsHubs() {
 		return ""
 	}
 	return t.loadSource()
@@ -122,175 +122,175 @@
 
 // hubsFailed tells whether no hub has been of use for so long that replicas must be
 // asked.
-func (t *turn) hubsFailed() bool { return t.now.Sub(t.sync.hub.usefulAt) > maxLeadWait }
+func (t *transition) hubsFailed() bool { return t.now.Sub(t.seeded.hub.usefulAt) > maxLeaderWait }
 
 // renewHubs turns away from hubs that give no useful answer, and to those that rank
 // next.
-func (t *turn) renewHubs() {
-	h := &t.sync.hub
-	if !t.followsHubs() {
-		h.asked = table.Table[ident.Host, time.Time]{}
+func (t *transition) renewHubs() {
+	h := &t.seeded.hub
+	if !t.pollsHubs() {
+		h.polled = table.Table[ident.Host, time.Time]{}
 		return
 	}
-	patience := max(hubTimeout, leadTimeout*t.syncInterval())
-	for id, since := range h.asked.All() {
-		c, _ := t.sync.contacts.Get(id)
-		if t.now.Sub(since) > patience && t.now.Sub(c.useful) > patience {
+	patience := max(hubTimeout, leaderTimeoutIntervals*t.pollInterval())
+	for id, since := range h.polled.All() {
+		c, _ := t.seeded.contacts.Get(id)
+		if t.now.Sub(since) > patience && t.now.Sub(c.lastUsefulReply) > patience {
 			h.avoided = h.avoided.With(id, t.now)
 		}
 	}
 	for id, since := range h.avoided.All() {
-		if t.now.Sub(since) > hubAvoided {
+		if t.now.Sub(since) > hubAvoidance {
 			h.avoided = h.avoided.Without(id)
 		}
 	}
-	t.askHubs()
+	t.pickHubs()
 }
 
-// askHubs picks the hubs to ask: those of the own zone first, another order for each
+// pickHubs picks the hubs to ask: those of the own zone first, another order for each
 // host, so that each hub serves about as many.
-func (t *turn) askHubs() {
-	h := &t.sync.hub
+func (t *transition) pickHubs() {
+	h := &t.seeded.hub
 	key := hash.Of("hub of", string(t.settings.ID))
 	ranked := slices.Clone(h.list)
 	slices.SortFunc(ranked, func(a, b EntryHost) int {
 		if near := a.Zone == t.settings.Zone; near != (b.Zone == t.settings.Zone) {
-			return order(near)
+			return orderFirst(near)
 		}
-		return order(hash.Mix(key, hash.Of(string(a.Host))) > hash.Mix(key, hash.Of(string(b.Host))))
+		return orderFirst(hash.Mix(key, hash.Of(string(a.Host))) > hash.Mix(key, hash.Of(string(b.Host))))
 	})
 	var asked table.Table[ident.Host, time.Time]
 	for _, hub := range ranked {
-		if asked.Len() == maxHubsAsked {
+		if asked.Len() == hubsPolled {
 			break
 		}
 		if h.avoided.Has(hub.Host) {
 			continue
 		}
-		since, ok := h.asked.Get(hub.Host)
+		since, ok := h.polled.Get(hub.Host)
 		if !ok {
 			since = t.now
 		}
 		asked = asked.With(hub.Host, since)
 	}
-	h.asked = asked
+	h.polled = asked
 }
 
-// leaveOthers tells hosts that are asked no more that this host counts elsewhere now.
-func (t *turn) leaveOthers(asked []ident.Host) {
-	if t.followsHubs() && t.hubsFailed() {
+// deregisterElsewhere tells hosts that are asked no more that this host counts elsewhere now.
+func (t *transition) deregisterElsewhere(asked []ident.Host) {
+	if t.pollsHubs() && t.hubsFailed() {
 		return
 	}
-	for _, h := range t.sync.hub.askedLast {
+	for _, h := range t.seeded.hub.polledLast {
 		if slices.Contains(asked, h) {
 			continue
 		}
-		t.send(h, Sync{Leaves: true, Boot: t.settings.Incarnation})
+		t.send(h, Poll{Leaves: true, Boot: t.settings.Incarnation})
 	}
-	t.sync.hub.askedLast = asked
+	t.seeded.hub.polledLast = asked
 }
 
-// hubsAsked are the hubs that this host asks.
-func (t *turn) hubsAsked() []ident.Host {
-	out := make([]ident.Host, 0, maxHubsAsked)
-	for h := range t.sync.hub.asked.All() {
+// polledHubs are the hubs that this host asks.
+func (t *transition) polledHubs() []ident.Host {
+	out := make([]ident.Host, 0, hubsPolled)
+	for h := range t.seeded.hub.polled.All() {
 		out = append(out, h)
 	}
 	return out
 }
 
-// serveAsHub gives this host what it needs to answer others: the workers that it
+// becomeHub gives this host what it needs to answer others: the workers that it
 // knows, with revisions of its own, and the table from which others may follow.
-func (t *turn) serveAsHub() {
-	t.sync.hub.serves = true
+func (t *transition) becomeHub() {
+	t.seeded.hub.serves = true
 	for w := range t.requests.Workers() {
-		t.registry = t.registry.WithWord(w, t.now)
+		t.registry = t.registry.WithReport(w, t.now)
 	}
 	t.rememberTable(t.config)
 	t.note(NoteHub, string(t.settings.ID), "answers other hosts")
 }
 
-// hubWord adds to an answer what a hub knows in place of a leader.
-func (t *turn) hubWord(a SyncAnswer, asked Sync) SyncAnswer {
-	a.Leader, a.Hosts, a.Replicas = t.sync.lead, t.sync.hosts, t.sync.replicas
-	a.Cut = !t.replicaHeard(hubTimeout)
+// hubReply adds to an answer what a hub knows in place of a leader.
+func (t *transition) hubReply(a PollReply, asked Poll) PollReply {
+	a.Leader, a.Hosts, a.Replicas = t.seeded.leaderContact, t.seeded.hosts, t.seeded.replicas
+	a.Cut = !t.replicaRepliedWithin(hubTimeout)
 	if confirmed := t.requests.Confirmed(); !confirmed.IsZero() {
 		a.Age = t.now.Sub(confirmed)
-		a.Fresh = a.Age < contactTimeout
+		a.Fresh = a.Age < replicaTimeout
 	}
-	if asked.Sums && !t.sync.hub.outsideAt.IsZero() {
-		a.Summed, a.LoadsAge = true, t.now.Sub(t.sync.hub.outsideAt)
+	if asked.Sums && !t.seeded.hub.outsideLoadsAt.IsZero() {
+		a.Summed, a.LoadsAge = true, t.now.Sub(t.seeded.hub.outsideLoadsAt)
 	}
 	return a
 }
 
-// tellHubs adds the list of hubs to an answer where the asker holds another one.
-func (t *turn) tellHubs(a SyncAnswer, asked Sync) SyncAnswer {
-	a.HubList = t.sync.hub.key
+// withHubList adds the list of hubs to an answer where the asker holds another one.
+func (t *transition) withHubList(a PollReply, asked Poll) PollReply {
+	a.HubList = t.seeded.hub.key
 	if a.HubList != asked.HubList {
-		a.Hubs = t.sync.hub.list
+		a.Hubs = t.seeded.hub.list
 	}
 	return a
 }
 
-// loadsToldTo are the requests that a host is told of in a question: by a hub those
+// loadsFor are the requests that a host is told of in a question: by a hub those
 // of its group, by others their own, and to no hub but their home.
-func (t *turn) loadsToldTo(to ident.Host) loads.Digest {
+func (t *transition) loadsFor(to ident.Host) loads.Digest {
 	switch {
 	case t.isHub():
 		return t.sumLoads().total
-	case t.followsHubs() && to != t.home() && t.sync.hub.asked.Has(to):
+	case t.pollsHubs() && to != t.primaryHub() && t.seeded.hub.polled.Has(to):
 		return nil
 	}
 	return t.requests.Loads()
 }
 
-// toldLoads takes the requests of other hosts. A hub keeps them for its group, and
+// takeLoads takes the requests of other hosts. A hub keeps them for its group, and
 // adds the group's for itself.
-func (t *turn) toldLoads(told loads.Digest, asOf time.Time) {
-	if t.sync.hub.serves {
-		t.sync.hub.outside, t.sync.hub.outsideAt = told, asOf
+func (t *transition) takeLoads(told loads.Digest, asOf time.Time) {
+	if t.seeded.hub.serves {
+		t.seeded.hub.outsideLoads, t.seeded.hub.outsideLoadsAt = told, asOf
 		told = t.sumLoads().others(t.settings.ID, told)
 	}
-	t.routed(requests.LoadsReported{Loads: told, AsOf: asOf})
+	t.reduceRequests(requests.LoadsReported{Loads: told, AsOf: asOf})
 }
 
-// group are the hosts that this hub counts; changed tells whether they must be told
+// groupReport are the hosts that this hub counts; changed tells whether they must be told
 // again.
-func (t *turn) group() (hosts []EntryHost, changed bool) {
+func (t *transition) groupReport() (hosts []EntryHost, changed bool) {
 	var names []string
-	for _, c := range t.sync.clients.All() {
-		if c.home && c.serves && t.now.Sub(c.heard) <= syncLife {
-			hosts = append(hosts, c.entry)
-			names = append(names, string(c.entry.Host), c.entry.Relay)
+	for _, c := range t.seeded.clients.All() {
+		if c.primary && c.serves && t.now.Sub(c.lastPoll) <= clientLifetime {
+			hosts = append(hosts, c.host)
+			names = append(names, string(c.host.Host), c.host.Relay)
 		}
 	}
 	key := hash.Of(names...)
-	changed = key != t.sync.hub.toldGroup || t.now.Sub(t.sync.hub.groupAt) >= groupInterval
+	changed = key != t.seeded.hub.reportedGroup || t.now.Sub(t.seeded.hub.groupReportedAt) >= groupReportInterval
 	if changed {
-		t.sync.hub.toldGroup, t.sync.hub.groupAt = key, t.now
+		t.seeded.hub.reportedGroup, t.seeded.hub.groupReportedAt = key, t.now
 	}
 	return hosts, changed
 }
 
-// heardAsHub keeps what replicas tell of workers, for the hosts that ask this hub.
-func (t *turn) heardAsHub(workers []registry.Worker) {
-	if !t.sync.hub.serves {
+// keepRegistrations keeps what replicas tell of workers, for the hosts that ask this hub.
+func (t *transition) keepRegistrations(workers []registry.Worker) {
+	if !t.seeded.hub.serves {
 		return
 	}
 	for _, w := range workers {
-		t.registry = t.registry.WithWord(w, t.now)
+		t.registry = t.registry.WithReport(w, t.now)
 	}
 }
 
 // tickHub tells the hosts that ask this hub of what has changed.
-func (t *turn) tickHub() {
-	if !t.sync.hub.serves {
+func (t *transition) tickHub() {
+	if !t.seeded.hub.serves {
 		return
 	}
-	t.pushSync()
-	if t.now.Sub(t.sync.relay.looks) >= registryInterval {
-		t.sync.relay.looks = t.now
+	t.pushUpdates()
+	if t.now.Sub(t.seeded.relay.lookedAt) >= registryInterval {
+		t.seeded.relay.lookedAt = t.now
 		t.registry = t.registry.Forget(t.now)
 		t.forgetLeases()
 	}
--- a/core/host/hub_test.go
+++ b/core/host/hub_test.go
@@ -33,7 +33,7 @@
 func (f *seededFleet) askers(d time.Duration) (direct, hubs map[ident.Host]bool) {
 	direct, hubs = map[ident.Host]bool{}, map[ident.Host]bool{}
 	f.seen = func(p seededPacket) {
-		if _, ok := p.message.(host.Sync); !ok {
+		if _, ok := p.message.(host.Poll); !ok {
 			return
 		}
 		if f.disks[p.to] != nil {
@@ -141,7 +141,7 @@
 func (f *seededFleet) hostsCounted() int {
 	n := 0
 	f.seen = func(p seededPacket) {
-		if m, ok := p.message.(host.SyncAnswer); ok && m.Fresh && p.from == f.leader() {
+		if m, ok := p.message.(host.PollReply); ok && m.Fresh && p.from == f.leader() {
 			n = m.Hosts
 		}
 	}
@@ -261,7 +261,7 @@
 	f := startLarge(t, entries)
 	told := map[time.Time]int{}
 	f.seen = func(p seededPacket) {
-		if m, ok := p.message.(host.SyncAnswer); ok && m.Round == 0 && p.from == replicaName(1) {
+		if m, ok := p.message.(host.PollReply); ok && m.Round == 0 && p.from == replicaName(1) {
 			told[f.now]++
 		}
 	}
@@ -282,9 +282,9 @@
 func TestRelaysOfAVeryLargeFleet(t *testing.T) {
 	const entries = 120
 	f := startLarge(t, entries)
-	answer := func(at ident.Host, id string) host.BeatAnswer {
+	answer := func(at ident.Host, id string) host.HeartbeatAnswer {
 		f.beats = nil
-		f.reduce(at, host.Beaten{Worker: registry.Worker{ID: ident.Target(id), Pool: "pool", Zone: "z1", Address: "10.9.9.9:80", Slots: 4, Seq: 1}})
+		f.reduce(at, host.HeartbeatReceived{Worker: registry.Worker{ID: ident.Target(id), Pool: "pool", Zone: "z1", Address: "10.9.9.9:80", Slots: 4, Seq: 1}})
 		require.Len(t, f.beats, 1)
 		return f.beats[0]
 	}
--- a/core/host/hubnaming.go
+++ b/core/host/hubnaming.go
@@ -10,23 +10,23 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// named tells whether this host stands on the list of hubs.
-func (t *turn) named() bool {
-	return slices.ContainsFunc(t.sync.hub.list, func(h EntryHost) bool { return h.Host == t.settings.ID })
+// isNamedHub tells whether this host stands on the list of hubs.
+func (t *transition) isNamedHub() bool {
+	return slices.ContainsFunc(t.seeded.hub.list, func(h EntryHost) bool { return h.Host == t.settings.ID })
 }
 
-// order is the result of a comparison where a does or does not go first.
-func order(first bool) int {
+// orderFirst is the result of a comparison where a does or does not go first.
+func orderFirst(first bool) int {
 	if first {
 		return -1
 	}
 	return 1
 }
 
-// takeHubs takes the list of hubs that a replica or a hub told, and begins to serve
+// takeHubList takes the list of hubs that a replica or a hub told, and begins to serve
 // as one where this host stands on it.
-func (t *turn) takeHubs(m SyncAnswer) {
-	h := &t.sync.hub
+func (t *transition) takeHubList(m PollReply) {
+	h := &t.seeded.hub
 	if m.HubList == 0 || m.HubList == h.key || !m.Fresh && h.key != 0 {
 		return
 	}
@@ -34,31 +34,31 @@
 		h.usefulAt = t.now
 	}
 	h.list, h.key = m.Hubs, m.HubList
-	if t.named() && !h.serves {
-		t.serveAsHub()
+	if t.isNamedHub() && !h.serves {
+		t.becomeHub()
 	}
 }
 
-// entryHosts are the live entry hosts that a replica knows: those that ask it and
+// liveEntryHosts are the live entry hosts that a replica knows: those that ask it and
 // those that hubs count, by name.
-func (t *turn) entryHosts() []EntryHost {
+func (t *transition) liveEntryHosts() []EntryHost {
 	found := map[ident.Host]EntryHost{}
-	for _, c := range t.sync.clients.All() {
-		if t.now.Sub(c.heard) > syncLife {
+	for _, c := range t.seeded.clients.All() {
+		if t.now.Sub(c.lastPoll) > clientLifetime {
 			continue
 		}
 		for _, h := range c.group {
 			found[h.Host] = h
 		}
 		if c.serves {
-			found[c.entry.Host] = c.entry
+			found[c.host.Host] = c.host
 		}
 	}
-	return slices.SortedFunc(maps.Values(found), func(a, b EntryHost) int { return order(a.Host < b.Host) })
+	return slices.SortedFunc(maps.Values(found), func(a, b EntryHost) int { return orderFirst(a.Host < b.Host) })
 }
 
 // hubsAbove is the number of entry hosts above which hubs are named.
-func (t *turn) hubsAbove() int {
+func (t *transition) hubsAbove() int {
 	if t.settings.HubsAbove == 0 {
 		return defaultHubsAbove
 	}
@@ -67,17 +67,17 @@
 
 // nameHubs names the hubs of the fleet, on a replica that has had the time to hear
 // of all hosts.
-func (t *turn) nameHubs(hosts []EntryHost) {
+func (t *transition) nameHubs(hosts []EntryHost) {
 	if t.now.Sub(t.started) < hubWarmUp {
 		return
 	}
 	least := t.hubsAbove()
-	if len(t.sync.hub.list) > 0 {
-		least = least * hubsStay / percent
+	if len(t.seeded.hub.list) > 0 {
+		least = least * hubsStayPercent / percent
 	}
 	var hubs []EntryHost
 	if len(hosts) > least {
-		hubs = rankHubs(hosts)
+		hubs = pickOfEachZone(hosts)
 	}
 	names := []string{"hubs"}
 	for _, h := range hubs {
@@ -89,19 +89,19 @@
 // settleHubs puts a list of hubs in force. One that takes the place of another must
 // have been the same for a while: when hosts turn to hubs, a replica hears of them no
 // more by themselves and not yet by their hubs, and would name other hubs, or none.
-func (t *turn) settleHubs(hubs []EntryHost, key hash.Key) {
-	h := &t.sync.hub
+func (t *transition) settleHubs(hubs []EntryHost, key hash.Key) {
+	h := &t.seeded.hub
 	if key != h.nextKey {
 		h.nextKey, h.nextSince = key, t.now
 	}
-	if key == h.key || len(h.list) > 0 && t.now.Sub(h.nextSince) < hubsSettle {
+	if key == h.key || len(h.list) > 0 && t.now.Sub(h.nextSince) < hubListSettle {
 		return
 	}
 	h.list, h.key = hubs, key
 }
 
-// rankHubs picks the hubs of each zone.
-func rankHubs(hosts []EntryHost) []EntryHost {
+// pickOfEachZone picks the hubs of each zone.
+func pickOfEachZone(hosts []EntryHost) []EntryHost {
 	byZone := map[ident.Zone][]EntryHost{}
 	for _, h := range hosts {
 		byZone[h.Zone] = append(byZone[h.Zone], h)
@@ -111,9 +111,9 @@
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
 		inZone := byZone[zone]
 		slices.SortFunc(inZone, func(a, b EntryHost) int {
-			return order(hash.Mix(key, hash.Of(string(a.Host))) > hash.Mix(key, hash.Of(string(b.Host))))
+			return orderFirst(hash.Mix(key, hash.Of(string(a.Host))) > hash.Mix(key, hash.Of(string(b.Host))))
 		})
-		n := max(minZoneHubs, (len(inZone)+hubGroup-1)/hubGroup)
+		n := max(minHubsPerZone, (len(inZone)+hostsPerHub-1)/hostsPerHub)
 		for _, h := range inZone[:min(n, len(inZone))] {
 			out = append(out, EntryHost{Host: h.Host, Zone: h.Zone})
 		}
--- a/core/host/inforce.go
+++ b/core/host/inforce.go
@@ -29,10 +29,10 @@
 	defaultInForce = 2 * time.Second
 	// leaseWarmUp is how long a replica that starts hears hosts before it knows who
 	// holds leases: longer than hosts of any fleet leave between two questions.
-	leaseWarmUp = maxSyncInterval + minSyncInterval
-	// forceMargin is kept from InForce for clocks that run at other rates, and for the
+	leaseWarmUp = maxPollInterval + minPollInterval
+	// inForceMargin is kept from InForce for clocks that run at other rates, and for the
 	// way of a request from the decision to its worker.
-	forceMargin = 100 * time.Millisecond
+	inForceMargin = 100 * time.Millisecond
 	// reportGap is kept between two questions of a host that has something to say of
 	// what is in force, which it does not keep until its next question.
 	reportGap = 100 * time.Millisecond
@@ -44,40 +44,40 @@
 	// inForce is the oldest table by which the other host, or any that it has told in
 	// turn, may serve, by its own word.
 	inForce config.Version
-	// told is the newest version that it was told of, last at toldAt; before is when it
+	// newestSent is the newest version that it was told of, last at toldAt; before is when it
 	// was last told of an older one.
-	told   config.Version
-	toldAt time.Time
-	before time.Time
+	newestSent  config.Version
+	sentAt      time.Time
+	olderSentAt time.Time
 }
 
-// olderTold is when the host was last told that a table older than v was the newest.
-func (l tableLease) olderTold(v config.Version) time.Time {
-	if l.told < v {
-		return l.toldAt
+// lastSentBefore is when the host was last told that a table older than v was the newest.
+func (l tableLease) lastSentBefore(v config.Version) time.Time {
+	if l.newestSent < v {
+		return l.sentAt
 	}
-	return l.before
+	return l.olderSentAt
 }
 
-// withTold returns the lease after the host was told of v.
-func (l tableLease) withTold(v config.Version, now time.Time) tableLease {
-	if v > l.told {
-		if l.told > 0 {
-			l.before = l.toldAt
+// withSent returns the lease after the host was told of v.
+func (l tableLease) withSent(v config.Version, now time.Time) tableLease {
+	if v > l.newestSent {
+		if l.newestSent > 0 {
+			l.olderSentAt = l.sentAt
 		}
-		l.told = v
+		l.newestSent = v
 	}
-	l.toldAt = now
+	l.sentAt = now
 	return l
 }
 
-// forceState is what a host keeps to know which tables are in force.
-type forceState struct {
+// inForceState is what a host keeps to know which tables are in force.
+type inForceState struct {
 	leases table.Table[ident.Host, tableLease]
 	// answers wait for a table to be in force, on the leader.
 	answers table.Table[string, heldAnswer]
-	// since is when the newest table was committed here.
-	since time.Time
+	// committedAt is when the newest table was committed here.
+	committedAt time.Time
 	// reported is the oldest table in force that this host told of last, at reportedAt.
 	reported   config.Version
 	reportedAt time.Time
@@ -94,37 +94,37 @@
 }
 
 // inForceTime is the time after its acknowledgement in which a table is in force.
-func (t *turn) inForceTime() time.Duration {
+func (t *transition) inForceTime() time.Duration {
 	if t.settings.InForce > 0 {
 		return t.settings.InForce
 	}
 	return defaultInForce
 }
 
-// graceTime is how long after it was told of an older table a silent host may hold an
+// maxHold is how long after it was told of an older table a silent host may hold an
 // acknowledgement up.
-func (t *turn) graceTime() time.Duration {
-	return max(0, t.requests.KeyLease()-t.inForceTime()+forceMargin)
+func (t *transition) maxHold() time.Duration {
+	return max(0, t.requests.KeyLease()-t.inForceTime()+inForceMargin)
 }
 
-// leaseAsked takes what a host says in a question of the tables in force there. An
+// grantLease takes what a host says in a question of the tables in force there. An
 // earlier process of the host holds no lease any more.
-func (t *turn) leaseAsked(from ident.Host, m Sync) {
-	l, known := t.sync.force.leases.Get(from)
+func (t *transition) grantLease(from ident.Host, m Poll) {
+	l, known := t.seeded.inForce.leases.Get(from)
 	if known && m.Boot != l.boot {
 		l = tableLease{}
 	}
 	l.boot = m.Boot
 	l.inForce = max(l.inForce, m.InForce)
-	l = l.withTold(t.heldConfig().Version, t.now)
-	t.sync.force.leases = t.sync.force.leases.With(from, l)
+	l = l.withSent(t.heldConfig().Version, t.now)
+	t.seeded.inForce.leases = t.seeded.inForce.leases.With(from, l)
 }
 
 // forgetLeases drops what was told so long ago that it is over.
-func (t *turn) forgetLeases() {
-	f := &t.sync.force
+func (t *transition) forgetLeases() {
+	f := &t.seeded.inForce
 	for id, l := range f.leases.All() {
-		if t.now.Sub(l.toldAt) >= t.requests.KeyLease() {
+		if t.now.Sub(l.sentAt) >= t.requests.KeyLease() {
 			f.leases = f.leases.Without(id)
 		}
 	}
@@ -132,40 +132,40 @@
 
 // oldestInForce is the oldest table by which this host, or any that it has told, may
 // serve.
-func (t *turn) oldestInForce() config.Version {
+func (t *transition) oldestInForce() config.Version {
 	oldest := t.config.Version
-	for _, l := range t.sync.force.leases.All() {
-		if l.inForce < oldest && t.now.Sub(l.olderTold(oldest)) < t.requests.KeyLease() {
+	for _, l := range t.seeded.inForce.leases.All() {
+		if l.inForce < oldest && t.now.Sub(l.lastSentBefore(oldest)) < t.requests.KeyLease() {
 			oldest = l.inForce
 		}
 	}
 	return oldest
 }
 
-// reportDue tells whether this host has news of what is in force, which a leader may
+// inForceReportDue tells whether this host has news of what is in force, which a leader may
 // wait for.
-func (t *turn) reportDue() bool {
-	f := &t.sync.force
+func (t *transition) inForceReportDue() bool {
+	f := &t.seeded.inForce
 	return t.now.Sub(f.reportedAt) >= reportGap && t.oldestInForce() > f.reported
 }
 
 // reportedInForce is the oldest table in force, as said in a question.
-func (t *turn) reportedInForce() config.Version {
-	f := &t.sync.force
+func (t *transition) reportedInForce() config.Version {
+	f := &t.seeded.inForce
 	f.reported, f.reportedAt = t.oldestInForce(), t.now
 	return f.reported
 }
 
 // tableCommitted notes that another table has taken the place of the newest one.
-func (t *turn) tableCommitted() { t.sync.force.since = t.now }
+func (t *transition) tableCommitted() { t.seeded.inForce.committedAt = t.now }
 
-// inForce tells whether a table that is committed here will be in force everywhere
+// willBeInForce tells whether a table that is committed here will be in force everywhere
 // within InForce, and if not, one host that may serve by an older one; this replica
 // itself stands for those that it does not know yet.
-func (t *turn) inForce(v config.Version) (ok bool, waitsFor ident.Host) {
-	f := t.sync.force
-	grace := t.graceTime()
-	if t.now.Sub(f.since) >= grace && t.now.Sub(t.started) >= grace {
+func (t *transition) willBeInForce(v config.Version) (ok bool, waitsFor ident.Host) {
+	f := t.seeded.inForce
+	grace := t.maxHold()
+	if t.now.Sub(f.committedAt) >= grace && t.now.Sub(t.started) >= grace {
 		// No older table was called the newest since.
 		return true, ""
 	}
@@ -173,7 +173,7 @@
 		return false, t.settings.ID
 	}
 	for id, l := range f.leases.All() {
-		told := l.olderTold(v)
+		told := l.lastSentBefore(v)
 		if l.inForce >= v || told.IsZero() {
 			continue
 		}
@@ -190,22 +190,22 @@
 
 // holdAnswer keeps the answer to a write until version is in force; only a leader
 // knows when that is.
-func (t *turn) holdAnswer(id string, to ident.Host, version config.Version, r catalog.Result) {
-	if !t.sync.force.answers.Has(id) {
-		t.sync.force.answers = t.sync.force.answers.With(id, heldAnswer{to: to, result: r, version: version, since: t.now})
+func (t *transition) holdAnswer(id string, to ident.Host, version config.Version, r catalog.Result) {
+	if !t.seeded.inForce.answers.Has(id) {
+		t.seeded.inForce.answers = t.seeded.inForce.answers.With(id, heldAnswer{to: to, result: r, version: version, since: t.now})
 	}
 	t.releaseAnswers()
 }
 
 // releaseAnswers gives the answers whose tables are in force. It looks at all leases,
 // so it runs once a tick, not for each question.
-func (t *turn) releaseAnswers() {
-	f := &t.sync.force
+func (t *transition) releaseAnswers() {
+	f := &t.seeded.inForce
 	if f.answers.Len() == 0 || !t.raft.LeaseHeld(t.now) {
 		return
 	}
 	for id, a := range f.answers.All() {
-		ok, waitsFor := t.inForce(a.version)
+		ok, waitsFor := t.willBeInForce(a.version)
 		if !ok {
 			a.waitsFor = waitsFor
 			f.answers = f.answers.With(id, a)
@@ -221,34 +221,34 @@
 	}
 }
 
-// forceAsked holds the answer to a write whose table another replica knows to be
+// awaitInForceReceived holds the answer to a write whose table another replica knows to be
 // committed.
-func (t *turn) forceAsked(from ident.Host, m ForceAsk) {
+func (t *transition) awaitInForceReceived(from ident.Host, m AwaitInForce) {
 	if t.raft.Role() != raft.Leader || t.catalog.Config.Version < m.Version {
 		return
 	}
 	t.holdAnswer(m.ID, from, m.Version, catalog.Result{Code: catalog.OK, Version: m.Version})
 }
 
-// awaitForce waits for the table that answers a write, which is committed, to be in
+// awaitInForce waits for the table that answers a write, which is committed, to be in
 // force.
-func (t *turn) awaitForce(p pendingWrite) {
-	if p.force == 0 {
-		p.force = t.catalog.Config.Version
+func (t *transition) awaitInForce(p pendingWrite) {
+	if p.inForce == 0 {
+		p.inForce = t.catalog.Config.Version
 	}
 	p.resend = t.now.Add(resendInterval)
 	t.writes = t.writes.With(p.write.ID, p)
 	if t.raft.Role() == raft.Leader {
-		t.holdAnswer(p.write.ID, t.settings.ID, p.force, catalog.Result{Code: catalog.OK, Version: p.force})
+		t.holdAnswer(p.write.ID, t.settings.ID, p.inForce, catalog.Result{Code: catalog.OK, Version: p.inForce})
 		return
 	}
 	if leader := t.leaderHint(); leader != "" && leader.Address() != t.settings.ID {
-		t.send(leader, ForceAsk{ID: p.write.ID, Version: p.force})
+		t.send(leader, AwaitInForce{ID: p.write.ID, Version: p.inForce})
 	}
 }
 
 // changesTable tells whether a write changes the route table of a seeded fleet.
-func (t *turn) changesTable(w catalog.Write) bool {
+func (t *transition) changesTable(w catalog.Write) bool {
 	edit, _ := w.Command.(catalog.Edit)
 	switch edit.Change.(type) {
 	case config.PutRouteTable, config.PatchRouteTable:
--- a/core/host/inforce_test.go
+++ b/core/host/inforce_test.go
@@ -254,7 +254,7 @@
 	f.run(time.Second)
 	require.IsType(t, requests.Dispatch{}, f.ask(entryName(0), "/x/1", ""))
 	f.hold = func(p seededPacket) time.Duration {
-		a, ok := p.message.(host.SyncAnswer)
+		a, ok := p.message.(host.PollReply)
 		if ok && p.to == entryName(0) && len(a.Gateway) > 0 {
 			return time.Hour
 		}
--- a/core/host/layout.go
+++ b/core/host/layout.go
@@ -76,7 +76,7 @@
 
 // ownersChanged works out the groups' owners anew, takes up those that are now
 // ours, drops those that are not, and tells new owners of places held.
-func (t *turn) ownersChanged() {
+func (t *transition) ownersChanged() {
 	old := t.layout.owners
 	owners := map[routing.GroupID]ident.Host{}
 	for _, parts := range t.layout.services {
@@ -96,7 +96,7 @@
 	t.refreshGroups()
 }
 
-func (t *turn) sortedParts() []groupPart {
+func (t *transition) sortedParts() []groupPart {
 	var out []groupPart
 	for _, parts := range t.layout.services {
 		out = append(out, parts...)
@@ -105,7 +105,7 @@
 	return out
 }
 
-func (t *turn) ownerMoved(p groupPart, owner ident.Host) {
+func (t *transition) ownerMoved(p groupPart, owner ident.Host) {
 	if owner == t.settings.ID {
 		g := routing.NewGroup(p.id, t.now).WithChatBound(t.settings.Chats)
 		if backup, ok := t.backups.Get(p.id.String()); ok {
--- a/core/host/loads_test.go
+++ b/core/host/loads_test.go
@@ -86,7 +86,7 @@
 func (f *seededFleet) sumsByReplica(d time.Duration) map[ident.Host]map[ident.Host]bool {
 	out := map[ident.Host]map[ident.Host]bool{}
 	f.seen = func(p seededPacket) {
-		if m, ok := p.message.(host.SyncAnswer); ok && m.Summed {
+		if m, ok := p.message.(host.PollReply); ok && m.Summed {
 			if out[p.from] == nil {
 				out[p.from] = map[ident.Host]bool{}
 			}
--- a/core/host/members.go
+++ b/core/host/members.go
@@ -30,15 +30,15 @@
 	maxMembers = 9
 )
 
-func (t *turn) tickMembers() {
-	t.askToJoin()
-	if t.now.Before(t.sync.memberAt) {
+func (t *transition) tickMembers() {
+	t.requestJoin()
+	if t.now.Before(t.seeded.memberAt) {
 		return
 	}
-	t.sync.memberAt = t.now.Add(memberInterval)
-	for id, heard := range t.sync.joiners.All() {
+	t.seeded.memberAt = t.now.Add(memberInterval)
+	for id, heard := range t.seeded.joiners.All() {
 		if t.now.Sub(heard) > joinLife {
-			t.sync.joiners = t.sync.joiners.Without(id)
+			t.seeded.joiners = t.seeded.joiners.Without(id)
 		}
 	}
 	if !t.raft.LeaseHeld(t.now) || !t.raft.MembersCommitted() {
@@ -50,16 +50,16 @@
 	}
 }
 
-// askToJoin makes this replica known to the leader until it hears from one.
-func (t *turn) askToJoin() {
-	if t.now.Before(t.sync.joinAt) || t.raft.Leader() != "" {
+// requestJoin makes this replica known to the leader until it hears from one.
+func (t *transition) requestJoin() {
+	if t.now.Before(t.seeded.joinAt) || t.raft.Leader() != "" {
 		return
 	}
-	t.sync.joinAt = t.now.Add(joinInterval)
+	t.seeded.joinAt = t.now.Add(joinInterval)
 	if t.raft.IsVoter() && t.now.Sub(t.started) < leaderlessJoin {
 		return
 	}
-	hosts := append(t.contactHosts(), t.memberAddresses()...)
+	hosts := append(t.knownReplicas(), t.memberAddresses()...)
 	for _, h := range hosts {
 		if h != t.settings.ID {
 			t.send(h, Join{Identity: t.settings.replicaID()})
@@ -67,12 +67,12 @@
 	}
 }
 
-func (t *turn) joined(m Join) {
-	t.sync.joiners = t.sync.joiners.With(m.Identity, t.now)
+func (t *transition) joinRequested(m Join) {
+	t.seeded.joiners = t.seeded.joiners.With(m.Identity, t.now)
 }
 
 // nextMember is the one change of the member list that is due, if any.
-func (t *turn) nextMember() (raft.ChangeMember, bool) {
+func (t *transition) nextMember() (raft.ChangeMember, bool) {
 	if id, ok := t.replacedDisk(); ok {
 		return raft.ChangeMember{Member: raft.Member{ID: id}, Remove: true}, true
 	}
@@ -83,12 +83,12 @@
 	if id, ok := t.silentMember(hasReady); ok {
 		return raft.ChangeMember{Member: raft.Member{ID: id}, Remove: true}, true
 	}
-	return t.newLearner()
+	return t.joiningLearner()
 }
 
 // replacedDisk finds a member at whose address another disk asks to join.
-func (t *turn) replacedDisk() (ident.Host, bool) {
-	for id := range t.sync.joiners.All() {
+func (t *transition) replacedDisk() (ident.Host, bool) {
+	for id := range t.seeded.joiners.All() {
 		for _, m := range t.raft.Members() {
 			if m.ID != id && m.ID.Address() == id.Address() && !t.memberAlive(m.ID) {
 				return m.ID, true
@@ -98,11 +98,11 @@
 	return "", false
 }
 
-func (t *turn) memberAlive(id ident.Host) bool {
-	return id == t.settings.replicaID() || t.now.Sub(t.raft.Heard(id)) < aliveWithin
+func (t *transition) memberAlive(id ident.Host) bool {
+	return id == t.settings.replicaID() || t.now.Sub(t.raft.LastReply(id)) < aliveWithin
 }
 
-func (t *turn) readyLearner() (ident.Host, bool) {
+func (t *transition) readyLearner() (ident.Host, bool) {
 	for _, m := range t.raft.Members() {
 		if !m.Voter && t.memberAlive(m.ID) && t.raft.Match(m.ID) >= t.raft.CommitIndex() {
 			return m.ID, true
@@ -111,7 +111,7 @@
 	return "", false
 }
 
-func (t *turn) voterCount() int {
+func (t *transition) voterCount() int {
 	n := 0
 	for _, m := range t.raft.Members() {
 		if m.Voter {
@@ -123,9 +123,9 @@
 
 // silentMember finds a voter that a learner can replace, or a learner that is
 // gone.
-func (t *turn) silentMember(hasReady bool) (ident.Host, bool) {
+func (t *transition) silentMember(hasReady bool) (ident.Host, bool) {
 	for _, m := range t.raft.Members() {
-		silent := m.ID != t.settings.replicaID() && t.now.Sub(t.raft.Heard(m.ID)) > replaceAfter
+		silent := m.ID != t.settings.replicaID() && t.now.Sub(t.raft.LastReply(m.ID)) > replaceAfter
 		if silent && (hasReady || !m.Voter) {
 			return m.ID, true
 		}
@@ -133,12 +133,12 @@
 	return "", false
 }
 
-func (t *turn) newLearner() (raft.ChangeMember, bool) {
+func (t *transition) joiningLearner() (raft.ChangeMember, bool) {
 	members := t.raft.Members()
 	if len(members) >= maxMembers {
 		return raft.ChangeMember{}, false
 	}
-	for id := range t.sync.joiners.All() {
+	for id := range t.seeded.joiners.All() {
 		if !t.raft.IsMember(id) {
 			return raft.ChangeMember{Member: raft.Member{ID: id}}, true
 		}
--- a/core/host/message.go
+++ b/core/host/message.go
@@ -25,8 +25,8 @@
 		To      ident.Host
 		Message raft.Message
 	}
-	// Gossip is a host's heartbeat.
-	Gossip struct{ Beat Beat }
+	// PeerHeartbeat is a host's heartbeat.
+	PeerHeartbeat struct{ Beat Heartbeat }
 	// AskPlace asks a group's owner for a place.
 	AskPlace struct {
 		Group   routing.GroupID
@@ -102,9 +102,9 @@
 		ID     string
 		Result catalog.Result
 	}
-	// Sync tells a replica what a host of a seeded fleet has, and asks for the
+	// Poll tells a replica what a host of a seeded fleet has, and asks for the
 	// rest.
-	Sync struct {
+	Poll struct {
 		// Round numbers the question; the answer repeats it.
 		Round   uint64
 		Version config.Version
@@ -144,8 +144,8 @@
 		Grouped bool
 		Group   []EntryHost
 	}
-	// SyncAnswer answers Sync, or tells of a change with Round 0.
-	SyncAnswer struct {
+	// PollReply answers Sync, or tells of a change with Round 0.
+	PollReply struct {
 		Round  uint64
 		Leader ident.Host
 		// Fresh is true where a leader with a lease says that Version is the
@@ -184,31 +184,31 @@
 		LoadsAge time.Duration
 		Cut      bool
 	}
-	// ForceAsk asks the leader to answer a write once a table, which is committed, is
+	// AwaitInForce asks the leader to answer a write once a table, which is committed, is
 	// in force.
-	ForceAsk struct {
+	AwaitInForce struct {
 		ID      string
 		Version config.Version
 	}
 	// Join asks the leader to take a replica in.
 	Join struct{ Identity ident.Host }
-	// ReadAsk asks the leader for the newest version.
-	ReadAsk struct{ ID string }
-	// ReadAnswer answers ReadAsk.
-	ReadAnswer struct {
+	// ReadRequest asks the leader for the newest version.
+	ReadRequest struct{ ID string }
+	// ReadReply answers ReadAsk.
+	ReadReply struct {
 		ID      string
 		Version config.Version
 	}
 )
 
 func (Raft) message()          {}
-func (Sync) message()          {}
-func (SyncAnswer) message()    {}
-func (ForceAsk) message()      {}
+func (Poll) message()          {}
+func (PollReply) message()     {}
+func (AwaitInForce) message()  {}
 func (Join) message()          {}
-func (ReadAsk) message()       {}
-func (ReadAnswer) message()    {}
-func (Gossip) message()        {}
+func (ReadRequest) message()   {}
+func (ReadReply) message()     {}
+func (PeerHeartbeat) message() {}
 func (AskPlace) message()      {}
 func (PlaceAnswer) message()   {}
 func (NotOwner) message()      {}
@@ -223,8 +223,8 @@
 func (ForwardWrite) message()  {}
 func (WriteAnswered) message() {}
 
-// Beat is what a host says of itself once per interval.
-type Beat struct {
+// Heartbeat is what a host says of itself once per interval.
+type Heartbeat struct {
 	Host        ident.Host
 	Incarnation uint64
 	Counter     uint64
--- a/core/host/neighbours_test.go
+++ b/core/host/neighbours_test.go
@@ -56,7 +56,7 @@
 	f.run(2 * time.Second)
 	asked := false
 	f.seen = func(p seededPacket) {
-		if s, ok := p.message.(host.Sync); ok && s.Neighbour {
+		if s, ok := p.message.(host.Poll); ok && s.Neighbour {
 			asked = true
 		}
 	}
@@ -147,7 +147,7 @@
 	f := newSeededFleet(t, 3, largeFleet)
 	told := 0
 	f.seen = func(p seededPacket) {
-		if m, ok := p.message.(host.SyncAnswer); ok && len(m.Neighbours) > 0 {
+		if m, ok := p.message.(host.PollReply); ok && len(m.Neighbours) > 0 {
 			told++
 		}
 	}
--- a/core/host/orders.go
+++ b/core/host/orders.go
@@ -28,7 +28,7 @@
 
 // tickOrders makes the leader drive the running plans: each step first gets
 // its fencing token through the log and only then goes to the engine.
-func (t *turn) tickOrders() {
+func (t *transition) tickOrders() {
 	if !t.raft.LeaseHeld(t.now) || t.now.Before(t.orderAt) {
 		return
 	}
@@ -59,12 +59,12 @@
 }
 
 // storeBusy tells whether the weight store still sends what was ordered.
-func (t *turn) storeBusy(s plan.Step) bool {
+func (t *transition) storeBusy(s plan.Step) bool {
 	return s.Action == plan.Load && t.now.Before(t.catalog.LoadFree())
 }
 
 // resendOrders takes up steps that an earlier leader ordered.
-func (t *turn) resendOrders(p plan.Plan) {
+func (t *transition) resendOrders(p plan.Plan) {
 	for i, s := range p.Steps {
 		if s.Status == plan.StepOrdered && !t.orders.Has(s.Token) && !t.mustWait(s.Target) {
 			t.issueOrder(p.ID, i)
@@ -74,7 +74,7 @@
 
 // mustWait tells whether a target that checks no tokens may still receive an
 // order from an earlier leader.
-func (t *turn) mustWait(id ident.Target) bool {
+func (t *transition) mustWait(id ident.Target) bool {
 	target, ok := t.config.Targets.Get(id)
 	if !ok || target.ChecksFence {
 		return false
@@ -82,7 +82,7 @@
 	return t.now.Sub(t.leaderSince) < orderSendTime+2*raft.DefaultElection
 }
 
-func (t *turn) issueOrder(id ident.Plan, step int) {
+func (t *transition) issueOrder(id ident.Plan, step int) {
 	write := fmt.Sprintf("auto/order/%s/%d", id, step)
 	if t.writes.Has(write) {
 		return
@@ -93,7 +93,7 @@
 }
 
 // autoDone goes on after a write of this process itself.
-func (t *turn) autoDone(id string, r catalog.Result, known bool) {
+func (t *transition) autoDone(id string, r catalog.Result, known bool) {
 	if !known || r.Code != catalog.OK || r.Token == 0 || !strings.HasPrefix(id, "auto/order/") {
 		return
 	}
@@ -108,7 +108,7 @@
 	}
 }
 
-func (t *turn) sendOrder(p plan.Plan, i int) {
+func (t *transition) sendOrder(p plan.Plan, i int) {
 	s := p.Steps[i]
 	target, ok := t.config.Targets.Get(s.Target)
 	if !ok {
@@ -124,7 +124,7 @@
 }
 
 // orderEnded records an order's end in the log, until it is answered.
-func (t *turn) orderEnded(ev OrderEnded) {
+func (t *transition) orderEnded(ev OrderEnded) {
 	t.orders = t.orders.Without(ev.Order.Token)
 	t.submit(catalog.Write{
 		ID: fmt.Sprintf("auto/end/%d", ev.Order.Token), Actor: string(t.settings.ID),
--- a/core/host/owner.go
+++ b/core/host/owner.go
@@ -22,7 +22,7 @@
 )
 
 // refreshGroups brings the owned groups' engines to configuration and health.
-func (t *turn) refreshGroups() {
+func (t *transition) refreshGroups() {
 	for _, p := range t.sortedParts() {
 		g, ok := t.groups.Get(p.id.String())
 		if !ok {
@@ -34,7 +34,7 @@
 	}
 }
 
-func (t *turn) tickGroups() {
+func (t *transition) tickGroups() {
 	for id, g := range t.groups.All() {
 		next, late := g.Expire(t.now)
 		next, moved, to := next.Reroute(t.boundIfWaiting(next))
@@ -62,7 +62,7 @@
 }
 
 // bound is the rule of a service with what other owners report.
-func (t *turn) bound(id routing.GroupID) routing.Bound {
+func (t *transition) bound(id routing.GroupID) routing.Bound {
 	s, _ := t.config.Services.Get(id.Service)
 	b := routing.Bound{Multiple: s.Multiple}
 	for _, l := range t.loads[id.Service] {
@@ -79,7 +79,7 @@
 }
 
 // boundIfWaiting saves the work where nobody waits for the bound's answer.
-func (t *turn) boundIfWaiting(g routing.Group) routing.Bound {
+func (t *transition) boundIfWaiting(g routing.Group) routing.Bound {
 	if g.Waiting() == 0 {
 		return routing.Bound{}
 	}
@@ -87,13 +87,13 @@
 }
 
 // gatherLoads keeps what live owners last reported, by service.
-func (t *turn) gatherLoads() {
+func (t *transition) gatherLoads() {
 	loads := map[ident.Service][]routing.GroupLoad{}
 	for _, p := range t.peers.All() {
 		if !p.alive {
 			continue
 		}
-		for _, l := range p.beat.Loads {
+		for _, l := range p.heartbeat.Loads {
 			loads[l.Group.Service] = append(loads[l.Group.Service], l)
 		}
 	}
@@ -104,7 +104,7 @@
 	return routing.GroupLoad{Group: g.ID, Load: g.Total(), Usable: g.Usable(), Waiting: g.Waiting()}
 }
 
-func (t *turn) ownLoads() []routing.GroupLoad {
+func (t *transition) ownLoads() []routing.GroupLoad {
 	var out []routing.GroupLoad
 	for _, g := range t.groups.All() {
 		// A new owner does not know its load until routers have told it; a low
@@ -116,7 +116,7 @@
 	return out
 }
 
-func (t *turn) askPlace(from ident.Host, m AskPlace) {
+func (t *transition) askPlace(from ident.Host, m AskPlace) {
 	g, ok := t.groups.Get(m.Group.String())
 	if !ok {
 		t.send(from, NotOwner{Place: m.Place})
@@ -135,7 +135,7 @@
 
 // askOf completes an ask from the configuration, which the wire need not
 // carry.
-func (t *turn) askOf(from ident.Host, m AskPlace) routing.Ask {
+func (t *transition) askOf(from ident.Host, m AskPlace) routing.Ask {
 	account, _ := t.config.Accounts.Get(m.Account)
 	class, ok := t.config.Classes.Get(m.Class)
 	if !ok {
@@ -149,15 +149,15 @@
 	}
 }
 
-func (t *turn) incarnationOf(h ident.Host) uint64 {
+func (t *transition) incarnationOf(h ident.Host) uint64 {
 	if h == t.settings.ID {
 		return t.settings.Incarnation
 	}
 	p, _ := t.peers.Get(h)
-	return p.beat.Incarnation
+	return p.heartbeat.Incarnation
 }
 
-func (t *turn) countAnswer(a routing.Answer) {
+func (t *transition) countAnswer(a routing.Answer) {
 	switch a := a.(type) {
 	case routing.Granted:
 		t.counters.Grants++
@@ -173,11 +173,11 @@
 	}
 }
 
-func (t *turn) answerAsk(ask routing.Ask, a routing.Answer) {
+func (t *transition) answerAsk(ask routing.Ask, a routing.Answer) {
 	t.send(ask.Router, PlaceAnswer{Place: ask.Place, Answer: a})
 }
 
-func (t *turn) freePlace(m FreePlace) {
+func (t *transition) freePlace(m FreePlace) {
 	for key, g := range t.groups.All() {
 		if !g.Holds(m.Place) {
 			continue
@@ -190,7 +190,7 @@
 }
 
 // serve gives places that became free to waiting asks.
-func (t *turn) serve(g routing.Group) {
+func (t *transition) serve(g routing.Group) {
 	if g.Waiting() == 0 {
 		return
 	}
@@ -199,14 +199,14 @@
 	t.sendGrants(grants)
 }
 
-func (t *turn) sendGrants(grants []routing.Grant) {
+func (t *transition) sendGrants(grants []routing.Grant) {
 	for _, grant := range grants {
 		t.countAnswer(grant.Answer())
 		t.answerAsk(grant.Ask, grant.Answer())
 	}
 }
 
-func (t *turn) adoptPlaces(m AdoptPlaces) {
+func (t *transition) adoptPlaces(m AdoptPlaces) {
 	g, ok := t.groups.Get(m.Group.String())
 	if !ok {
 		return
@@ -215,7 +215,7 @@
 	t.groups = t.groups.With(m.Group.String(), g.Adopt(m.Permits, t.now))
 }
 
-func (t *turn) dropRouter(id ident.Host, keep uint64) {
+func (t *transition) dropRouter(id ident.Host, keep uint64) {
 	for key, g := range t.groups.All() {
 		g = g.DropRouter(id, keep, t.now)
 		t.groups = t.groups.With(key, g)
@@ -225,7 +225,7 @@
 
 // handOverGroup passes what is remembered of chats to the next owner, in
 // messages of bounded size; asks that wait are asked anew by their routers.
-func (t *turn) handOverGroup(g routing.Group, owner ident.Host) {
+func (t *transition) handOverGroup(g routing.Group, owner ident.Host) {
 	if owner == "" {
 		return
 	}
@@ -239,7 +239,7 @@
 
 // adoptChats takes over what an owner remembers: as its successor, or as its
 // backup until then.
-func (t *turn) adoptChats(m AdoptChats) {
+func (t *transition) adoptChats(m AdoptChats) {
 	key := m.Group.String()
 	if g, ok := t.groups.Get(key); ok {
 		t.groups = t.groups.With(key, g.AdoptChats(m.Chats))
@@ -255,7 +255,7 @@
 
 // backUpChats tells each group's next owner in line which chats were placed
 // since the last beat.
-func (t *turn) backUpChats() {
+func (t *transition) backUpChats() {
 	for key, g := range t.groups.All() {
 		next, moved := g.TakeMoved()
 		t.groups = t.groups.With(key, next)
--- a/core/host/peers.go
+++ b/core/host/peers.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// beatInterval is the time between two heartbeats of a host.
-	beatInterval = time.Second
+	// heartbeatInterval is the time between two heartbeats of a host.
+	heartbeatInterval = time.Second
 	// peerTimeout without a new heartbeat makes a host count as gone.
 	peerTimeout = 3 * time.Second
 	// suspectAfter is the same for a host that has left an ask unanswered.
@@ -22,26 +22,26 @@
 
 // peer is what is known of another host.
 type peer struct {
-	beat  Beat
-	heard time.Time
-	alive bool
+	heartbeat     Heartbeat
+	lastHeartbeat time.Time
+	alive         bool
 }
 
-func (t *turn) tickPeers() {
+func (t *transition) tickPeers() {
 	for id, p := range t.peers.All() {
-		if p.alive && t.now.Sub(p.heard) > peerTimeout {
+		if p.alive && t.now.Sub(p.lastHeartbeat) > peerTimeout {
 			t.peerDown(id, p)
 		}
 	}
-	if t.now.Before(t.beatAt) {
+	if t.now.Before(t.heartbeatAt) {
 		return
 	}
-	t.beatAt = t.now.Add(beatInterval)
-	t.sendBeats()
+	t.heartbeatAt = t.now.Add(heartbeatInterval)
+	t.sendHeartbeats()
 	t.backUpChats()
 }
 
-func (t *turn) peerDown(id ident.Host, p peer) {
+func (t *transition) peerDown(id ident.Host, p peer) {
 	p.alive = false
 	t.peers = t.peers.With(id, p)
 	t.gatherLoads()
@@ -51,63 +51,63 @@
 }
 
 // suspect takes a silent host for gone sooner, once it does not answer either.
-func (t *turn) suspect(id ident.Host) {
-	if p, ok := t.peers.Get(id); ok && p.alive && t.now.Sub(p.heard) > suspectAfter {
+func (t *transition) suspect(id ident.Host) {
+	if p, ok := t.peers.Get(id); ok && p.alive && t.now.Sub(p.lastHeartbeat) > suspectAfter {
 		t.peerDown(id, p)
 	}
 }
 
-// sendBeats tells every other host that this one lives and what it owns.
-func (t *turn) sendBeats() {
-	t.beat++
-	b := Beat{
-		Host: t.settings.ID, Incarnation: t.settings.Incarnation, Counter: t.beat,
+// sendHeartbeats tells every other host that this one lives and what it owns.
+func (t *transition) sendHeartbeats() {
+	t.heartbeats++
+	b := Heartbeat{
+		Host: t.settings.ID, Incarnation: t.settings.Incarnation, Counter: t.heartbeats,
 		Version: t.config.Version, Draining: t.draining, Serves: t.settings.Serves,
 		Zone: t.settings.Zone, Loads: t.ownLoads(), Leaving: t.leavingSigns(), Lost: t.lostTargets(),
 	}
 	for _, h := range t.knownHosts() {
 		if h.ID != t.settings.ID {
-			t.send(h.ID, Gossip{Beat: b})
+			t.send(h.ID, PeerHeartbeat{Beat: b})
 		}
 	}
 }
 
 // knownHosts returns the configured hosts; before there is a configuration,
 // those of the settings.
-func (t *turn) knownHosts() []config.Host {
+func (t *transition) knownHosts() []config.Host {
 	if t.config.Hosts.Len() > 0 {
 		return t.config.Hosts.Values()
 	}
 	return append(append([]config.Host{}, t.settings.Replicas...), t.settings.Neighbours...)
 }
 
-func (t *turn) gossip(from ident.Host, b Beat) {
+func (t *transition) peerHeartbeat(from ident.Host, b Heartbeat) {
 	if b.Host != from {
 		return
 	}
 	old, known := t.peers.Get(from)
-	if known && (b.Incarnation < old.beat.Incarnation ||
-		(b.Incarnation == old.beat.Incarnation && b.Counter <= old.beat.Counter)) {
+	if known && (b.Incarnation < old.heartbeat.Incarnation ||
+		(b.Incarnation == old.heartbeat.Incarnation && b.Counter <= old.heartbeat.Counter)) {
 		return
 	}
-	t.peers = t.peers.With(from, peer{beat: b, heard: t.now, alive: true})
+	t.peers = t.peers.With(from, peer{heartbeat: b, lastHeartbeat: t.now, alive: true})
 	t.gatherLoads()
 	if !known || !old.alive {
 		t.note(NoteHostUp, string(from), "")
 	}
-	if known && b.Incarnation != old.beat.Incarnation {
+	if known && b.Incarnation != old.heartbeat.Incarnation {
 		t.dropRouter(from, b.Incarnation)
 	}
 	for _, id := range b.Leaving {
 		t.markLeaving(id)
 	}
-	if !known || !old.alive || old.beat.Draining != b.Draining || old.beat.Incarnation != b.Incarnation {
+	if !known || !old.alive || old.heartbeat.Draining != b.Draining || old.heartbeat.Incarnation != b.Incarnation {
 		t.ownersChanged()
 	}
 }
 
 // mayOwn tells whether a host may own groups as seen from here.
-func (t *turn) mayOwn(h config.Host) bool {
+func (t *transition) mayOwn(h config.Host) bool {
 	if !h.Serves {
 		return false
 	}
@@ -115,21 +115,21 @@
 		return !t.draining
 	}
 	p, ok := t.peers.Get(h.ID)
-	return ok && p.alive && !p.beat.Draining
+	return ok && p.alive && !p.heartbeat.Draining
 }
 
 // ownerOf returns the owner of a group as seen from here: by rendezvous among
 // the live serving hosts of its zone, and only where there is none, of others.
-func (t *turn) ownerOf(g routing.GroupID) (ident.Host, bool) {
+func (t *transition) ownerOf(g routing.GroupID) (ident.Host, bool) {
 	return t.ownerBut(g, "")
 }
 
 // nextOwner returns who would own a group if this host did not.
-func (t *turn) nextOwner(g routing.GroupID) (ident.Host, bool) {
+func (t *transition) nextOwner(g routing.GroupID) (ident.Host, bool) {
 	return t.ownerBut(g, t.settings.ID)
 }
 
-func (t *turn) ownerBut(g routing.GroupID, but ident.Host) (ident.Host, bool) {
+func (t *transition) ownerBut(g routing.GroupID, but ident.Host) (ident.Host, bool) {
 	var near, far []ident.Host
 	for _, h := range t.config.Hosts.All() {
 		switch {
@@ -147,7 +147,7 @@
 }
 
 // aliveServing counts the hosts that take requests, this one included.
-func (t *turn) aliveServing() int {
+func (t *transition) aliveServing() int {
 	n := 0
 	for _, h := range t.config.Hosts.All() {
 		if t.mayOwn(h) {
@@ -158,10 +158,10 @@
 }
 
 // leavingSigns are the targets that told this host that they are stopping.
-func (t *turn) leavingSigns() []ident.Target {
+func (t *transition) leavingSigns() []ident.Target {
 	var out []ident.Target
 	for id, h := range t.health.All() {
-		if h.Signed(t.now) {
+		if h.SaysLeaving(t.now) {
 			out = append(out, id)
 		}
 	}
--- a/core/host/place.go
+++ b/core/host/place.go
@@ -12,7 +12,7 @@
 )
 
 // ask finds a place for the call.
-func (t *turn) ask(c call) {
+func (t *transition) ask(c call) {
 	if c.service.Kind == config.KindPlain {
 		t.pickPlain(c)
 		return
@@ -25,7 +25,7 @@
 	t.askGroup(c, id, false)
 }
 
-func (t *turn) noTarget(c call) Verdict {
+func (t *transition) noTarget(c call) Verdict {
 	return Verdict{
 		Outcome: c.worst, Code: CodeNoTarget, RetryAfter: retryLater,
 		Reason: "no target can take the request now",
@@ -34,7 +34,7 @@
 
 // groupFor picks the chat's group by rendezvous, weighted by the engines that
 // hold the model; groups that nobody can own are passed over.
-func (t *turn) groupFor(c call) (routing.GroupID, bool) {
+func (t *transition) groupFor(c call) (routing.GroupID, bool) {
 	best, second := routing.GroupID{}, routing.GroupID{}
 	var top, next float64
 	key := c.req.Chat
@@ -65,7 +65,7 @@
 }
 
 // emptyGroup tells whether the owner last said that no engine is usable.
-func (t *turn) emptyGroup(id routing.GroupID) bool {
+func (t *transition) emptyGroup(id routing.GroupID) bool {
 	owner := t.layout.owners[id]
 	if owner == t.settings.ID {
 		g, ok := t.groups.Get(id.String())
@@ -79,7 +79,7 @@
 	return false
 }
 
-func (t *turn) askGroup(c call, id routing.GroupID, final bool) {
+func (t *transition) askGroup(c call, id routing.GroupID, final bool) {
 	c.phase = phaseAsking
 	c.group = id
 	c.owner = t.layout.owners[id]
@@ -94,7 +94,7 @@
 
 // sendAsk sends the call's newest ask, perhaps again: its owner repeats the
 // answer to one that it has already.
-func (t *turn) sendAsk(c call) {
+func (t *transition) sendAsk(c call) {
 	t.send(c.owner, AskPlace{
 		Group: c.group, Place: c.place, Account: c.account.ID, Class: c.class.ID, Model: c.req.Model,
 		Chat: c.req.Chat, Work: c.req.Work, Within: c.req.Deadline.Sub(t.now),
@@ -104,7 +104,7 @@
 
 // placeAnswer goes on with a call whose group has answered. An answer that
 // nobody waits for any more frees its place.
-func (t *turn) placeAnswer(from ident.Host, m PlaceAnswer) {
+func (t *transition) placeAnswer(from ident.Host, m PlaceAnswer) {
 	c, ok := t.calls.Get(m.Place.Request())
 	waiting := ok && c.place == m.Place && (c.phase == phaseAsking || c.phase == phaseQueued)
 	switch a := m.Answer.(type) {
@@ -134,7 +134,7 @@
 
 // freeUnwanted gives back a place that came too late, unless the call already
 // runs on it (a doubled answer).
-func (t *turn) freeUnwanted(from ident.Host, m PlaceAnswer, c call, ok bool) {
+func (t *transition) freeUnwanted(from ident.Host, m PlaceAnswer, c call, ok bool) {
 	if ok && c.phase == phaseRunning && c.place == m.Place && c.owner != "" {
 		return
 	}
@@ -154,7 +154,7 @@
 	return v
 }
 
-func (t *turn) notOwner(m NotOwner) {
+func (t *transition) notOwner(m NotOwner) {
 	c, ok := t.calls.Get(m.Place.Request())
 	if ok && (c.phase == phaseAsking || c.phase == phaseQueued) && c.place == m.Place {
 		t.pickLocally(c)
@@ -165,7 +165,7 @@
 // the least loaded by own requests, no engine beyond this host's part of its
 // slots. Ties go by rendezvous: hosts that pick at once pick different engines,
 // and a chat the same one again.
-func (t *turn) pickLocally(c call) {
+func (t *transition) pickLocally(c call) {
 	t.counters.Fallbacks++
 	c.owner = ""
 	var best config.Target
@@ -186,7 +186,7 @@
 
 // openTargets are the targets of the call's group that this host may use
 // without the owner's word.
-func (t *turn) openTargets(c call) []config.Target {
+func (t *transition) openTargets(c call) []config.Target {
 	var out []config.Target
 	for _, p := range t.layout.services[c.service.ID] {
 		if p.id != c.group {
@@ -205,13 +205,13 @@
 }
 
 // ownPart is what one host may send to a target without its owner's word.
-func (t *turn) ownPart(target config.Target) int {
+func (t *transition) ownPart(target config.Target) int {
 	return max(1, target.Slots/t.aliveServing())
 }
 
 // pickPlain chooses a worker of a plain service: the one with the fewest of
 // this host's requests, workers of the own zone first.
-func (t *turn) pickPlain(c call) {
+func (t *transition) pickPlain(c call) {
 	var best config.Target
 	found := false
 	var bestCost int
@@ -235,7 +235,7 @@
 
 // plainCost orders workers by the share of their slots in use from here; a
 // worker of another zone counts as farPenalty fuller.
-func (t *turn) plainCost(target config.Target) int {
+func (t *transition) plainCost(target config.Target) int {
 	n, _ := t.inFlight.Get(target.ID)
 	cost := n * percent / target.Slots
 	if target.Zone != t.settings.Zone {
@@ -247,7 +247,7 @@
 const farPenalty = 25
 
 // reportPlaces tells a group's new owner which places this host's calls hold.
-func (t *turn) reportPlaces(id routing.GroupID, owner ident.Host) {
+func (t *transition) reportPlaces(id routing.GroupID, owner ident.Host) {
 	if owner == "" {
 		return
 	}
@@ -269,7 +269,7 @@
 }
 
 // reask sends the asks that wait at a group's old owner to the new one.
-func (t *turn) reask(id routing.GroupID) {
+func (t *transition) reask(id routing.GroupID) {
 	for _, c := range t.calls.All() {
 		if c.group == id && (c.phase == phaseAsking || c.phase == phaseQueued) {
 			c.owner = ""
--- a/core/host/read.go
+++ b/core/host/read.go
@@ -21,14 +21,14 @@
 // readResend is the pause before an unanswered question is sent again.
 const readResend = 200 * time.Millisecond
 
-func (t *turn) read(ev Read) {
+func (t *transition) read(ev Read) {
 	t.reads = t.reads.With(ev.ID, pendingRead{deadline: ev.Deadline})
-	t.askRead(ev.ID)
+	t.requestRead(ev.ID)
 }
 
-// askRead asks the leader for the newest version. The question leaves after the
+// requestRead asks the leader for the newest version. The question leaves after the
 // read came, so what the leader says covers all that was accepted before it.
-func (t *turn) askRead(id string) {
+func (t *transition) requestRead(id string) {
 	p, ok := t.reads.Get(id)
 	if !ok {
 		return
@@ -36,21 +36,21 @@
 	p.resend = t.now.Add(readResend)
 	t.reads = t.reads.With(id, p)
 	if t.raft.LeaseHeld(t.now) {
-		t.readAnswered(ReadAnswer{ID: id, Version: t.catalog.Config.Version})
+		t.readReplied(ReadReply{ID: id, Version: t.catalog.Config.Version})
 		return
 	}
 	if leader := t.raft.Leader(); leader != "" && leader != t.settings.replicaID() {
-		t.send(leader, ReadAsk{ID: id})
+		t.send(leader, ReadRequest{ID: id})
 	}
 }
 
-func (t *turn) readAsked(from ident.Host, m ReadAsk) {
+func (t *transition) readRequested(from ident.Host, m ReadRequest) {
 	if t.raft.LeaseHeld(t.now) {
-		t.send(from, ReadAnswer{ID: m.ID, Version: t.catalog.Config.Version})
+		t.send(from, ReadReply{ID: m.ID, Version: t.catalog.Config.Version})
 	}
 }
 
-func (t *turn) readAnswered(m ReadAnswer) {
+func (t *transition) readReplied(m ReadReply) {
 	p, ok := t.reads.Get(m.ID)
 	if !ok {
 		return
@@ -61,7 +61,7 @@
 }
 
 // answerReads ends the reads whose version is held now.
-func (t *turn) answerReads() {
+func (t *transition) answerReads() {
 	for id, p := range t.reads.All() {
 		if p.confirmed && t.catalog.Config.Version >= p.version {
 			t.reads = t.reads.Without(id)
@@ -70,14 +70,14 @@
 	}
 }
 
-func (t *turn) tickReads() {
+func (t *transition) tickReads() {
 	for id, p := range t.reads.All() {
 		switch {
 		case !t.now.Before(p.deadline):
 			t.reads = t.reads.Without(id)
 			t.emit(AnswerRead{ID: id})
 		case !p.confirmed && !t.now.Before(p.resend):
-			t.askRead(id)
+			t.requestRead(id)
 		}
 	}
 }
--- a/core/host/registrations.go
+++ b/core/host/registrations.go
@@ -9,16 +9,16 @@
 	"github.com/yardhall/yardhall/core/registry"
 )
 
-// beaten takes a worker's heartbeat and tells of it where it says something new.
-func (t *turn) beaten(w registry.Worker) {
-	next, changed := t.registry.WithBeat(w, t.now)
+// registerHeartbeat takes a worker's heartbeat and tells of it where it says something new.
+func (t *transition) registerHeartbeat(w registry.Worker) {
+	next, changed := t.registry.WithHeartbeat(w, t.now)
 	t.registry = next
 	if changed {
 		t.note(NoteWorker, string(w.ID), fmt.Sprintf("pool=%s state=%s seq=%d at=%s", w.Pool, w.State, w.Seq, w.Address))
 	}
 }
 
-func (t *turn) left(id ident.Target) {
+func (t *transition) deregister(id ident.Target) {
 	next, changed := t.registry.WithGone(id, t.now)
 	t.registry = next
 	if changed {
--- a/core/host/relay.go
+++ b/core/host/relay.go
@@ -22,24 +22,24 @@
 // replica, so that a worker that leaves is known everywhere as soon as without
 // relays.
 const (
-	// relayAbove is the number of ready workers that a replica knows above which it
+	// relayAboveWorkers is the number of ready workers that a replica knows above which it
 	// names relays. Without relays each replica knows those that speak to it.
-	relayAbove = 150
-	// relayHosts is the number of entry hosts above which relays are named from the
+	relayAboveWorkers = 150
+	// relayAboveHosts is the number of entry hosts above which relays are named from the
 	// first heartbeat on: so large a fleet has as many workers, which all come at
 	// the same time when it starts.
-	relayHosts = 100
+	relayAboveHosts = 100
 	// relayWarmUp is how long a replica that starts hears entry hosts before it names
 	// relays, so that not a few of them get all workers.
 	relayWarmUp = time.Second
-	// relayShare times its part of all workers, and relayLeast more, is what a relay
+	// relayRoomFactor times its part of all workers, and relayLeast more, is what a relay
 	// takes; the others go back to a replica, which knows more relays by then.
-	relayShare = 2
-	relayLeast = 16
+	relayRoomFactor = 2
+	relayRoomLeast  = 16
 	// relayInterval is the time between two words of a relay on whom it has
 	// heard; several fit into the time that a worker may be silent.
 	relayInterval = 1500 * time.Millisecond
-	// relayContact is how recently a relay must have heard a replica: one that is
+	// relayReplicaTimeout is how recently a relay must have heard a replica: one that is
 	// cut off must not acknowledge what no replica will hear of. It is longer than
 	// a host of a large fleet leaves between two questions, and with relayInterval
 	// and one heartbeat shorter than a worker may be silent. A relay that has heard
@@ -47,86 +47,86 @@
 	// a replica, keeps it for as long again. If it sent back every heartbeat, replicas
 	// that are slow to answer hosts would get all heartbeats of the fleet, and be
 	// slower still.
-	relayContact = 3 * time.Second
+	relayReplicaTimeout = 3 * time.Second
 	// registryInterval is the time between two looks over all registrations.
 	registryInterval = 500 * time.Millisecond
 )
 
 // relayState is what relays and replicas keep for this.
 type relayState struct {
-	// heard are the workers heard since the last word, on a relay.
-	heard map[ident.Target]registry.Worker
-	at    time.Time
+	// gathered are the workers heard since the last word, on a relay.
+	gathered map[ident.Target]registry.Worker
+	sentAt   time.Time
 	// hosts are the entry hosts that are relays, on a replica; empty where none are
 	// needed. Neither is changed in place.
-	hosts []EntryHost
-	looks time.Time
-	// alone are the workers that a relay keeps while it hears no replica, by when they
+	hosts    []EntryHost
+	lookedAt time.Time
+	// keptAlone are the workers that a relay keeps while it hears no replica, by when they
 	// came from one; zero where the relay has sent them there.
-	alone table.Table[ident.Target, time.Time]
+	keptAlone table.Table[ident.Target, time.Time]
 }
 
-// beatHeard takes a worker's heartbeat and says whether it is acknowledged, and
+// heartbeatReceived takes a worker's heartbeat and says whether it is acknowledged, and
 // where the next ones shall go.
-func (t *turn) beatHeard(w registry.Worker) {
+func (t *transition) heartbeatReceived(w registry.Worker) {
 	if t.settings.IsReplica() {
-		t.beaten(w)
-		t.answerBeat(BeatAnswer{Taken: true, Relay: t.relayFor(w)})
+		t.registerHeartbeat(w)
+		t.answerHeartbeat(HeartbeatAnswer{Taken: true, Relay: t.relayFor(w)})
 		return
 	}
 	taken := t.mayRelay(w)
 	if taken {
-		t.relayHeard(w)
+		t.gatherHeartbeats(w)
 	}
-	t.answerBeat(BeatAnswer{Taken: taken})
+	t.answerHeartbeat(HeartbeatAnswer{Taken: taken})
 }
 
-// answerBeat answers a worker and counts the answer.
-func (t *turn) answerBeat(a BeatAnswer) {
+// answerHeartbeat answers a worker and counts the answer.
+func (t *transition) answerHeartbeat(a HeartbeatAnswer) {
 	switch {
 	case !a.Taken:
-		t.counters.BeatsDeclined++
+		t.counters.HeartbeatsDeclined++
 	case a.Relay != "":
-		t.counters.BeatsNamed++
+		t.counters.HeartbeatsRedirected++
 	}
 	if a.Taken {
-		t.counters.Beats++
+		t.counters.Heartbeats++
 	}
 	t.emit(a)
 }
 
-// relayHeard remembers workers whose heartbeats replicas are to be told of.
-func (t *turn) relayHeard(workers ...registry.Worker) {
+// gatherHeartbeats remembers workers whose heartbeats replicas are to be told of.
+func (t *transition) gatherHeartbeats(workers ...registry.Worker) {
 	if len(workers) == 0 {
 		return
 	}
-	heard := make(map[ident.Target]registry.Worker, len(t.sync.relay.heard)+len(workers))
-	maps.Copy(heard, t.sync.relay.heard)
+	heard := make(map[ident.Target]registry.Worker, len(t.seeded.relay.gathered)+len(workers))
+	maps.Copy(heard, t.seeded.relay.gathered)
 	for _, w := range workers {
 		if have, ok := heard[w.ID]; !ok || registry.Newer(w, have) {
 			heard[w.ID] = w
 		}
 	}
-	t.sync.relay.heard = heard
+	t.seeded.relay.gathered = heard
 }
 
-// leaveHeard takes a worker's word that it ends; only replicas do.
-func (t *turn) leaveHeard(id ident.Target) {
+// deregistrationReceived takes a worker's word that it ends; only replicas do.
+func (t *transition) deregistrationReceived(id ident.Target) {
 	taken := t.settings.IsReplica()
 	if taken {
-		t.left(id)
+		t.deregister(id)
 	}
-	t.emit(BeatAnswer{Taken: taken})
+	t.emit(HeartbeatAnswer{Taken: taken})
 }
 
 // relayFor names the relay for a worker; empty is none.
-func (t *turn) relayFor(w registry.Worker) string {
+func (t *transition) relayFor(w registry.Worker) string {
 	if w.State != registry.Ready {
 		return ""
 	}
-	near := slices.DeleteFunc(slices.Clone(t.sync.relay.hosts), func(h EntryHost) bool { return h.Zone != w.Zone })
+	near := slices.DeleteFunc(slices.Clone(t.seeded.relay.hosts), func(h EntryHost) bool { return h.Zone != w.Zone })
 	if len(near) == 0 {
-		near = t.sync.relay.hosts
+		near = t.seeded.relay.hosts
 	}
 	relay, _ := hash.Best(hash.Of(string(w.ID)), near, func(h EntryHost) string { return h.Relay })
 	return relay.Relay
@@ -135,125 +135,125 @@
 // mayRelay tells whether a heartbeat says nothing that is at odds with what is
 // known, and replicas will hear of it. A worker not known yet has just spoken to a
 // replica, whose word is under way.
-func (t *turn) mayRelay(w registry.Worker) bool {
+func (t *transition) mayRelay(w registry.Worker) bool {
 	known, ok := t.requests.Worker(w.ID)
 	same := known.Pool == w.Pool && known.Address == w.Address && known.Zone == w.Zone && known.Slots == w.Slots
 	settled := known.State == registry.Ready || known.State == registry.Silent
-	return (!ok || same && settled) && w.State == registry.Ready && !t.draining && t.relayHasRoom(w.ID) && t.mayKeep(w.ID)
+	return (!ok || same && settled) && w.State == registry.Ready && !t.draining && t.relayHasRoom(w.ID) && t.mayKeepWorker(w.ID)
 }
 
-// mayKeep tells whether replicas will know in time that a worker lives: they are heard,
+// mayKeepWorker tells whether replicas will know in time that a worker lives: they are heard,
 // or the worker was at one of them not long ago.
-func (t *turn) mayKeep(id ident.Target) bool {
-	r := &t.sync.relay
-	if t.replicaHeard(relayContact) {
-		r.alone = table.Table[ident.Target, time.Time]{}
+func (t *transition) mayKeepWorker(id ident.Target) bool {
+	r := &t.seeded.relay
+	if t.replicaRepliedWithin(relayReplicaTimeout) {
+		r.keptAlone = table.Table[ident.Target, time.Time]{}
 		return true
 	}
-	came, known := r.alone.Get(id)
-	if !known && !t.replicaEverHeard() {
+	came, known := r.keptAlone.Get(id)
+	if !known && !t.replicaEverReplied() {
 		// This relay has just started: whoever comes was sent by a replica.
 		came, known = t.now, true
 	}
-	if !known || !came.IsZero() && t.now.Sub(came) >= relayContact {
-		r.alone = r.alone.With(id, time.Time{})
+	if !known || !came.IsZero() && t.now.Sub(came) >= relayReplicaTimeout {
+		r.keptAlone = r.keptAlone.With(id, time.Time{})
 		return false
 	}
 	if came.IsZero() {
 		came = t.now
 	}
-	r.alone = r.alone.With(id, came)
+	r.keptAlone = r.keptAlone.With(id, came)
 	return true
 }
 
 // relayHasRoom tells whether this relay takes one more worker, in the time between
 // two words to replicas. One that has become a hub sends its workers away.
-func (t *turn) relayHasRoom(id ident.Target) bool {
-	if t.sync.hub.serves {
+func (t *transition) relayHasRoom(id ident.Target) bool {
+	if t.seeded.hub.serves {
 		return false
 	}
-	if _, heard := t.sync.relay.heard[id]; heard {
+	if _, heard := t.seeded.relay.gathered[id]; heard {
 		return true
 	}
-	return len(t.sync.relay.heard) < relayLeast+relayShare*t.requests.KnownWorkers()/max(1, t.sync.hosts)
+	return len(t.seeded.relay.gathered) < relayRoomLeast+relayRoomFactor*t.requests.KnownWorkers()/max(1, t.seeded.hosts)
 }
 
-// replicaHeard tells whether any replica has answered within a time.
-func (t *turn) replicaHeard(within time.Duration) bool {
-	for _, c := range t.sync.contacts.All() {
-		if t.now.Sub(c.useful) <= within {
+// replicaRepliedWithin tells whether any replica has answered within a time.
+func (t *transition) replicaRepliedWithin(within time.Duration) bool {
+	for _, c := range t.seeded.contacts.All() {
+		if t.now.Sub(c.lastUsefulReply) <= within {
 			return true
 		}
 	}
 	return false
 }
 
-// replicaEverHeard tells whether any replica has answered this process.
-func (t *turn) replicaEverHeard() bool {
-	for _, c := range t.sync.contacts.All() {
-		if !c.useful.IsZero() {
+// replicaEverReplied tells whether any replica has answered this process.
+func (t *transition) replicaEverReplied() bool {
+	for _, c := range t.seeded.contacts.All() {
+		if !c.lastUsefulReply.IsZero() {
 			return true
 		}
 	}
 	return false
 }
 
-// relayed returns the workers that each of the hosts asked is to be told of now: each
+// heartbeatsFor returns the workers that each of the hosts asked is to be told of now: each
 // replica of those that it told of itself, and another one where that one is silent.
 // A hub passes on at once what relays have gathered.
-func (t *turn) relayed(asked []ident.Host) map[ident.Host][]registry.Worker {
-	wait := !t.sync.hub.serves && t.now.Sub(t.sync.relay.at) < relayInterval
-	if len(t.sync.relay.heard) == 0 || wait {
+func (t *transition) heartbeatsFor(asked []ident.Host) map[ident.Host][]registry.Worker {
+	wait := !t.seeded.hub.serves && t.now.Sub(t.seeded.relay.sentAt) < relayInterval
+	if len(t.seeded.relay.gathered) == 0 || wait {
 		return nil
 	}
-	t.sync.relay.at = t.now
+	t.seeded.relay.sentAt = t.now
 	out := map[ident.Host][]registry.Worker{}
-	for id, w := range t.sync.relay.heard {
+	for id, w := range t.seeded.relay.gathered {
 		to := t.requests.ReportedBy(id)
-		if c, ok := t.sync.contacts.Get(to); !ok || c.lost || !slices.Contains(asked, to) {
-			to = t.beatSource()
+		if c, ok := t.seeded.contacts.Get(to); !ok || c.lost || !slices.Contains(asked, to) {
+			to = t.heartbeatReceiver()
 		}
 		out[to] = append(out[to], w)
 	}
 	for _, workers := range out {
 		slices.SortFunc(workers, registry.ByID)
 	}
-	t.sync.relay.heard = nil
+	t.seeded.relay.gathered = nil
 	return out
 }
 
-// beatSource is the host that is told of workers which none of those asked told of.
-func (t *turn) beatSource() ident.Host {
-	if home := t.home(); home != "" {
+// heartbeatReceiver is the host that is told of workers which none of those asked told of.
+func (t *transition) heartbeatReceiver() ident.Host {
+	if home := t.primaryHub(); home != "" {
 		return home
 	}
-	return t.sourceOf("beats", contactTimeout)
+	return t.sourceOf("beats", replicaTimeout)
 }
 
 // tickRegistry looks over all registrations now and then: who is silent, and
 // whether relays are needed.
-func (t *turn) tickRegistry() {
-	if t.now.Sub(t.sync.relay.looks) < registryInterval {
+func (t *transition) tickRegistry() {
+	if t.now.Sub(t.seeded.relay.lookedAt) < registryInterval {
 		return
 	}
-	t.sync.relay.looks = t.now
+	t.seeded.relay.lookedAt = t.now
 	silent := t.settings.SilentAfter
 	if silent == 0 {
 		silent = defaultSilentAfter
 	}
 	t.registry, _ = t.registry.Expire(silent, t.now)
 	t.forgetLeases()
-	hosts := t.entryHosts()
+	hosts := t.liveEntryHosts()
 	t.nameHubs(hosts)
-	t.nameNeighbours(hosts)
-	t.sync.relay.hosts = nil
-	few := t.registry.Ready() <= relayAbove && len(hosts) <= relayHosts
+	t.nameFallbackPeers(hosts)
+	t.seeded.relay.hosts = nil
+	few := t.registry.Ready() <= relayAboveWorkers && len(hosts) <= relayAboveHosts
 	if few || t.now.Sub(t.started) < relayWarmUp {
 		return
 	}
 	for _, h := range hosts {
 		if h.Relay != "" {
-			t.sync.relay.hosts = append(t.sync.relay.hosts, h)
+			t.seeded.relay.hosts = append(t.seeded.relay.hosts, h)
 		}
 	}
 }
--- a/core/host/relay_test.go
+++ b/core/host/relay_test.go
@@ -43,11 +43,11 @@
 }
 
 // say sends a worker's word to a host; taken is false where nobody answers.
-func (f *relayedFleet) say(at ident.Host, ev host.Event) host.BeatAnswer {
+func (f *relayedFleet) say(at ident.Host, ev host.Event) host.HeartbeatAnswer {
 	f.beats = nil
 	f.reduce(at, ev)
 	if len(f.beats) == 0 {
-		return host.BeatAnswer{}
+		return host.HeartbeatAnswer{}
 	}
 	return f.beats[0]
 }
@@ -59,12 +59,12 @@
 	for i := range manyWorkers {
 		w := f.worker(i, registry.Ready)
 		if relay, ok := f.relay[w.ID]; ok {
-			if f.say(relay, host.Beaten{Worker: w}).Taken {
+			if f.say(relay, host.HeartbeatReceived{Worker: w}).Taken {
 				continue
 			}
 			delete(f.relay, w.ID)
 		}
-		answer := f.say(replicaName(i%3), host.Beaten{Worker: w})
+		answer := f.say(replicaName(i%3), host.HeartbeatReceived{Worker: w})
 		if relay, ok := strings.CutPrefix(answer.Relay, "relay at "); ok {
 			f.relay[w.ID] = ident.Host(relay)
 		}
@@ -129,27 +129,27 @@
 	f := startRelayed(t, 2)
 	relay := f.relay[workerName(7)]
 	f.seq++
-	require.False(t, f.say(relay, host.Beaten{Worker: f.worker(7, registry.Draining)}).Taken)
-	require.False(t, f.say(relay, host.Left{Worker: workerName(7)}).Taken)
+	require.False(t, f.say(relay, host.HeartbeatReceived{Worker: f.worker(7, registry.Draining)}).Taken)
+	require.False(t, f.say(relay, host.DeregistrationReceived{Worker: workerName(7)}).Taken)
 	moved := f.worker(7, registry.Ready)
 	moved.Address = "10.9.9.9:80"
-	require.False(t, f.say(relay, host.Beaten{Worker: moved}).Taken)
+	require.False(t, f.say(relay, host.HeartbeatReceived{Worker: moved}).Taken)
 	stranger := f.worker(7, registry.Ready)
 	stranger.ID = "stranger"
-	require.True(t, f.say(relay, host.Beaten{Worker: stranger}).Taken, "its first word to a replica may be under way")
+	require.True(t, f.say(relay, host.HeartbeatReceived{Worker: stranger}).Taken, "its first word to a replica may be under way")
 	f.run(3 * time.Second)
 	for i := range 2 {
 		w, ok := f.states[entryName(i)].Requests().Worker("stranger")
 		require.True(t, ok && w.State == registry.Ready, "or lost: then the relay's word brings it in")
 	}
 
-	require.Empty(t, f.say(replicaName(0), host.Beaten{Worker: f.worker(7, registry.Draining)}).Relay)
+	require.Empty(t, f.say(replicaName(0), host.HeartbeatReceived{Worker: f.worker(7, registry.Draining)}).Relay)
 	f.run(time.Second)
-	require.False(t, f.say(relay, host.Beaten{Worker: f.worker(7, registry.Ready)}).Taken, "a leaving worker is no longer known as ready")
+	require.False(t, f.say(relay, host.HeartbeatReceived{Worker: f.worker(7, registry.Ready)}).Taken, "a leaving worker is no longer known as ready")
 
 	f.cutOff(relay, true)
 	f.run(4 * time.Second)
-	require.False(t, f.say(relay, host.Beaten{Worker: f.worker(8, registry.Ready)}).Taken, "a relay that no replica answers")
+	require.False(t, f.say(relay, host.HeartbeatReceived{Worker: f.worker(8, registry.Ready)}).Taken, "a relay that no replica answers")
 }
 
 // TestFewWorkersAreHeardByReplicas names no relay in a small fleet.
@@ -162,7 +162,7 @@
 	f.run(2 * time.Second)
 	f.beats = nil
 	f.beat(replicaName(0), "w-0", registry.Ready, 2)
-	require.Equal(t, []host.BeatAnswer{{Taken: true}}, f.beats)
+	require.Equal(t, []host.HeartbeatAnswer{{Taken: true}}, f.beats)
 }
 
 // TestManyRegistrationsGoOutAtABoundedRate has many workers register at
@@ -175,13 +175,13 @@
 	require.True(t, f.put(f.leader(), f.table(1, "k"), time.Second))
 	at := replicaName(0)
 	for i := range workers {
-		f.reduce(at, host.Beaten{Worker: registry.Worker{
+		f.reduce(at, host.HeartbeatReceived{Worker: registry.Worker{
 			ID: workerName(i), Pool: "pool", Zone: "z", Address: fmt.Sprintf("10.9.%d.%d:80", i/250, i%250), Slots: 4, Seq: 1,
 		}})
 	}
 	sent, perTick := 0, map[time.Time]int{}
 	f.seen = func(p seededPacket) {
-		if m, ok := p.message.(host.SyncAnswer); ok && p.from == at {
+		if m, ok := p.message.(host.PollReply); ok && p.from == at {
 			sent += len(m.Workers)
 			perTick[f.now] += len(m.Workers)
 		}
--- a/core/host/repair.go
+++ b/core/host/repair.go
@@ -25,7 +25,7 @@
 )
 
 // lostTargets are targets of this host's groups that are gone for good.
-func (t *turn) lostTargets() []ident.Target {
+func (t *transition) lostTargets() []ident.Target {
 	var out []ident.Target
 	for id, h := range t.health.All() {
 		if gid, ok := t.layout.groupOf[id]; ok && h.Lost(t.now) && t.groups.Has(gid.String()) {
@@ -36,11 +36,11 @@
 }
 
 // fleetLost joins what all live owners report as lost.
-func (t *turn) fleetLost() []ident.Target {
+func (t *transition) fleetLost() []ident.Target {
 	lost := t.lostTargets()
 	for _, p := range t.peers.All() {
 		if p.alive {
-			lost = append(lost, p.beat.Lost...)
+			lost = append(lost, p.heartbeat.Lost...)
 		}
 	}
 	slices.Sort(lost)
@@ -49,7 +49,7 @@
 
 // tickRepair makes the leader replace lost engines by the rules of the
 // confirmed intents, one plan at a time.
-func (t *turn) tickRepair() {
+func (t *transition) tickRepair() {
 	if t.now.Before(t.repairAt) || !t.raft.LeaseHeld(t.now) {
 		return
 	}
@@ -65,7 +65,7 @@
 	}
 }
 
-func (t *turn) planUnderWay() bool {
+func (t *transition) planUnderWay() bool {
 	for _, p := range t.catalog.Plans.All() {
 		if p.Status == plan.Running || p.Status == plan.Paused {
 			return true
@@ -76,7 +76,7 @@
 
 // repair states the intent again without the lost engines, where that gives
 // anything to load in a zone that is not cut off.
-func (t *turn) repair(in config.Intent, lost []ident.Target) bool {
+func (t *transition) repair(in config.Intent, lost []ident.Target) bool {
 	if t.repairedLately(in.ID) {
 		return false
 	}
@@ -95,7 +95,7 @@
 	return true
 }
 
-func (t *turn) repairedLately(id ident.Intent) bool {
+func (t *transition) repairedLately(id ident.Intent) bool {
 	for _, p := range t.catalog.Plans.All() {
 		if p.Repair && p.Intent.ID == id && t.now.Sub(p.Created) < repairPause {
 			return true
@@ -104,7 +104,7 @@
 	return false
 }
 
-func (t *turn) zoneLost(s ident.Service, z ident.Zone, lost []ident.Target) bool {
+func (t *transition) zoneLost(s ident.Service, z ident.Zone, lost []ident.Target) bool {
 	all, gone := 0, 0
 	for _, target := range t.config.Targets.All() {
 		if target.Service != s || target.Zone != z {
--- a/core/host/repair_test.go
+++ b/core/host/repair_test.go
@@ -51,7 +51,7 @@
 		for until := now.Add(d); now.Before(until); {
 			now = now.Add(tickTime)
 			counter++
-			feed(host.Received{From: "h", Message: host.Gossip{Beat: host.Beat{Host: "h", Counter: counter, Lost: lost}}})
+			feed(host.Received{From: "h", Message: host.PeerHeartbeat{Beat: host.Heartbeat{Host: "h", Counter: counter, Lost: lost}}})
 			for _, e := range feed(host.Tick{}) {
 				if o, ok := e.(host.SendOrder); ok {
 					orders = append(orders, o.Order)
--- a/core/host/replica.go
+++ b/core/host/replica.go
@@ -15,7 +15,7 @@
 // what is committed to the catalog.
 
 // stepRaft feeds the replicated log and carries out what it asks for.
-func (t *turn) stepRaft(ev raft.Event) {
+func (t *transition) stepRaft(ev raft.Event) {
 	if !t.raft.Active() {
 		return
 	}
@@ -54,7 +54,7 @@
 // Envelope addresses a message that had to wait for the disk.
 func (s State) Envelope(e raft.Send) (ident.Host, Raft) { return e.To.Address(), s.envelope(e) }
 
-func (t *turn) roleChanged(e raft.RoleChange) {
+func (t *transition) roleChanged(e raft.RoleChange) {
 	if e.Role == raft.Leader {
 		t.counters.Elections++
 		t.leaderSince = t.now
@@ -62,11 +62,11 @@
 	t.leader = e.Leader
 	// Writes handed over in an older term may be lost; who waits sends again.
 	t.origins = table.Table[string, ident.Host]{}
-	t.sync.force.answers = table.Table[string, heldAnswer]{}
+	t.seeded.inForce.answers = table.Table[string, heldAnswer]{}
 	t.note(NoteRole, string(t.settings.ID), fmt.Sprintf("%s term=%d leader=%s", e.Role, e.Term, e.Leader))
 }
 
-func (t *turn) applyEntries(entries []raft.Entry) {
+func (t *transition) applyEntries(entries []raft.Entry) {
 	before := t.catalog.Config.Version
 	for _, e := range entries {
 		t.applied = e.Index
@@ -98,7 +98,7 @@
 
 // answerOrigin answers a write that was applied, or has its answer wait until the table
 // that it brought is in force.
-func (t *turn) answerOrigin(w catalog.Write, r catalog.Result) {
+func (t *transition) answerOrigin(w catalog.Write, r catalog.Result) {
 	from, forwarded := t.origins.Get(w.ID)
 	t.origins = t.origins.Without(w.ID)
 	p, own := t.writes.Get(w.ID)
@@ -106,7 +106,7 @@
 	case r.Code == catalog.OK && t.changesTable(w) && forwarded:
 		t.holdAnswer(w.ID, from, t.catalog.Config.Version, r)
 	case r.Code == catalog.OK && t.changesTable(w) && own:
-		t.awaitForce(p)
+		t.awaitInForce(p)
 	case forwarded:
 		t.send(from, WriteAnswered{ID: w.ID, Result: r})
 	default:
@@ -114,7 +114,7 @@
 	}
 }
 
-func (t *turn) restore(s raft.Snapshot) {
+func (t *transition) restore(s raft.Snapshot) {
 	c, err := catalog.Decode(s.Data)
 	if err != nil {
 		panic("host: " + err.Error())
@@ -133,7 +133,7 @@
 )
 
 // maybeCompact takes a snapshot when the log has grown by compactEvery.
-func (t *turn) maybeCompact() {
+func (t *transition) maybeCompact() {
 	grown := t.applied >= t.raft.SnapshotIndex()+compactEvery || t.appliedBytes >= compactBytes
 	if !t.raft.Active() || !grown || t.applied <= t.raft.SnapshotIndex() {
 		return
--- a/core/host/seeded_test.go
+++ b/core/host/seeded_test.go
@@ -64,7 +64,7 @@
 	starts  uint64
 	voters  int
 	// beats are the answers to workers.
-	beats []host.BeatAnswer
+	beats []host.HeartbeatAnswer
 	// seen, where set, is shown each message that arrives.
 	seen func(seededPacket)
 	// hold, where set, is how long a message stays on its way; held are those that
@@ -173,14 +173,14 @@
 				to, m := f.states[id].Envelope(s)
 				f.wire = append(f.wire, seededPacket{id, to, m})
 			}
-			f.reduce(id, host.DiskSynced{Persisted: raft.Persisted{Index: e.Persist.Index, Term: e.Persist.Term}})
+			f.reduce(id, host.EntriesPersisted{Persisted: raft.Persisted{Index: e.Persist.Index, Term: e.Persist.Term}})
 		case host.AnswerWrite:
 			f.writes[e.ID] = e
 		case host.AnswerRead:
 			f.reads[e.ID] = e.OK
 		case host.RequestDecision:
 			f.decided = append(f.decided, e.Decision)
-		case host.BeatAnswer:
+		case host.HeartbeatAnswer:
 			f.beats = append(f.beats, e)
 		}
 	}
@@ -297,7 +297,7 @@
 }
 
 func (f *seededFleet) beat(at ident.Host, id string, state registry.State, seq uint64) {
-	f.reduce(at, host.Beaten{Worker: registry.Worker{
+	f.reduce(at, host.HeartbeatReceived{Worker: registry.Worker{
 		ID: ident.Target(id), Pool: "pool", Zone: "z", Address: "10.9.9.9:80", Slots: 4, State: state, Seq: seq,
 	}})
 }
--- a/core/host/syncanswer.go
+++ b/core/host/syncanswer.go
@@ -14,69 +14,69 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// syncAnswered takes what a replica or a hub told.
-func (t *turn) syncAnswered(from ident.Host, m SyncAnswer) {
+// pollReplied takes what a replica or a hub told.
+func (t *transition) pollReplied(from ident.Host, m PollReply) {
 	if m.Neighbour {
-		t.neighbourAnswered(from, m)
+		t.fallbackReplied(from, m)
 		return
 	}
-	t.hearContact(from, m)
+	t.noteReply(from, m)
 	if workers, err := registry.Unpack(m.Workers); err == nil && len(workers) > 0 {
-		t.routed(requests.Registered{From: from, Workers: workers})
-		t.heardAsHub(workers)
+		t.reduceRequests(requests.Registered{From: from, Workers: workers})
+		t.keepRegistrations(workers)
 	}
-	t.takeHubs(m)
-	t.takeNeighbours(m)
+	t.takeHubList(m)
+	t.takeFallbackPeers(m)
 	if len(m.Gateway) > 0 && m.Version > t.config.Version {
-		t.takeGateway(m)
+		t.takeTable(m)
 	}
-	asked, known := t.sync.rounds.Get(m.Round)
-	t.sync.rounds = t.sync.rounds.Without(m.Round)
+	asked, known := t.seeded.rounds.Get(m.Round)
+	t.seeded.rounds = t.seeded.rounds.Without(m.Round)
 	if m.Summed && known {
-		t.sync.loadsAt = t.now.Add(time.Duration(len(m.Loads)) * loadByteTime)
-		t.toldLoads(m.Loads, asked.Add(-t.syncInterval()/2-m.LoadsAge))
+		t.seeded.loadsAt = t.now.Add(time.Duration(len(m.Loads)) * loadByteTime)
+		t.takeLoads(m.Loads, asked.Add(-t.pollInterval()/2-m.LoadsAge))
 	}
 	if !m.Fresh {
 		// A fleet that starts has no leader yet, and must not ask its replicas as
 		// often as a small one may.
-		t.sync.hosts = max(t.sync.hosts, m.Hosts)
+		t.seeded.hosts = max(t.seeded.hosts, m.Hosts)
 		t.followLeader(from, m.Leader)
 		return
 	}
-	t.sync.lead, t.sync.leadAt = from, t.now
-	t.sync.replicas = m.Replicas
-	t.noteNewest(m.Version)
+	t.seeded.leaderContact, t.seeded.leaderReplyAt = from, t.now
+	t.seeded.replicas = m.Replicas
+	t.noteNewestTable(m.Version)
 	if m.Hosts > 0 {
-		t.sync.hosts = m.Hosts
+		t.seeded.hosts = m.Hosts
 		t.requests = t.requests.WithHosts(m.Hosts)
 	}
 	if known && t.config.Version >= m.Version {
 		// A hub's word is counted from before this host asked, so that a hub that
 		// is held up makes it older and never younger.
-		t.routed(requests.Confirmed{AsOf: asked.Add(-m.Age)})
+		t.reduceRequests(requests.Confirmed{AsOf: asked.Add(-m.Age)})
 	}
 }
 
-// behind tells whether the leader has named a newer table for so long that it
+// tableOverdue tells whether the leader has named a newer table for so long that it
 // is asked for it itself.
-func (t *turn) behind() bool {
-	return t.config.Version == 0 || !t.sync.behindAt.IsZero() && t.now.Sub(t.sync.behindAt) > t.syncInterval()
+func (t *transition) tableOverdue() bool {
+	return t.config.Version == 0 || !t.seeded.newerKnownAt.IsZero() && t.now.Sub(t.seeded.newerKnownAt) > t.pollInterval()
 }
 
 // followLeader turns to the leader that the replica asked last knows of. One
 // that knows none, or is cut off itself, is left after leadTimeout.
-func (t *turn) followLeader(from, leader ident.Host) {
-	if from != t.sync.lead || leader == "" || leader == from || t.followsHubs() {
+func (t *transition) followLeader(from, leader ident.Host) {
+	if from != t.seeded.leaderContact || leader == "" || leader == from || t.pollsHubs() {
 		return
 	}
-	t.sync.lead = leader
-	t.sendSync(leader, t.question(leader))
+	t.seeded.leaderContact = leader
+	t.sendPoll(leader, t.poll(leader))
 }
 
-// takeGateway puts a newer route table in force. A delta from another table
+// takeTable puts a newer route table in force. A delta from another table
 // than the one held is left; the next question asks again.
-func (t *turn) takeGateway(m SyncAnswer) {
-	g, err := t.unpackGateway(m)
+func (t *transition) takeTable(m PollReply) {
+	g, err := t.unpackTable(m)
 	if err != nil {
 		t.counters.StaleConfig++
 		return
@@ -86,7 +86,7 @@
 	t.useConfig(next)
 }
 
-func (t *turn) unpackGateway(m SyncAnswer) (config.RouteTable, error) {
+func (t *transition) unpackTable(m PollReply) (config.RouteTable, error) {
 	if m.Base == 0 {
 		return config.UnpackRouteTable(m.Gateway)
 	}
@@ -100,17 +100,17 @@
 	return t.config.Gateway.WithDelta(d)
 }
 
-// hearContact records how far the registry of a replica is known.
-func (t *turn) hearContact(from ident.Host, m SyncAnswer) {
-	c, known := t.sync.contacts.Get(from)
+// noteReply records how far the registry of a replica is known.
+func (t *transition) noteReply(from ident.Host, m PollReply) {
+	c, known := t.seeded.contacts.Get(from)
 	if !known || c.lost {
 		t.note(NoteReplica, string(from), "found")
 	}
-	c.heard, c.lost = t.now, false
+	c.lastReply, c.lost = t.now, false
 	if !m.Cut {
-		c.useful = t.now
-		if t.sync.hub.asked.Has(from) {
-			t.sync.hub.usefulAt = t.now
+		c.lastUsefulReply = t.now
+		if t.seeded.hub.polled.Has(from) {
+			t.seeded.hub.usefulAt = t.now
 		}
 	}
 	switch {
@@ -119,11 +119,11 @@
 	case c.epoch == m.Epoch && m.Since <= c.revision:
 		c.revision = max(c.revision, m.Revision)
 	}
-	t.sync.contacts = t.sync.contacts.With(from, c)
+	t.seeded.contacts = t.seeded.contacts.With(from, c)
 }
 
-// routed feeds the gateway and carries out what it decides.
-func (t *turn) routed(ev requests.Event) {
+// reduceRequests feeds the gateway and carries out what it decides.
+func (t *transition) reduceRequests(ev requests.Event) {
 	next, decisions := requests.Reduce(t.requests, ev, t.now)
 	t.requests = next
 	for _, d := range decisions {
--- a/core/host/syncreplica.go
+++ b/core/host/syncreplica.go
@@ -14,108 +14,108 @@
 	"github.com/yardhall/yardhall/core/table"
 )
 
-// syncAsked answers a host, and remembers it for what changes next.
-func (t *turn) syncAsked(from ident.Host, m Sync) {
-	if m.Neighbour && t.settings.Serves && !t.sync.hub.serves {
-		t.serveAsHub()
+// pollReceived answers a host, and remembers it for what changes next.
+func (t *transition) pollReceived(from ident.Host, m Poll) {
+	if m.Neighbour && t.settings.Serves && !t.seeded.hub.serves {
+		t.becomeHub()
 	}
-	if !t.answersSync() || t.isOfEarlierProcess(from, m) {
+	if !t.answersPolls() || t.isOfEarlierProcess(from, m) {
 		return
 	}
 	if m.Leaves {
-		t.sync.clients = t.sync.clients.Without(from)
+		t.seeded.clients = t.seeded.clients.Without(from)
 		return
 	}
-	t.leaseAsked(from, m)
+	t.grantLease(from, m)
 	c := client{
-		version: m.Version, revision: m.Revision, heard: t.now, table: m.Table, serves: m.Serves, loads: m.Loads,
-		boot: m.Boot, entry: EntryHost{Host: from, Zone: m.Zone, Relay: m.Relay}, home: m.Home, group: m.Group,
-		neighbour: m.Neighbour,
+		version: m.Version, revision: m.Revision, lastPoll: t.now, table: m.Table, serves: m.Serves, loads: m.Loads,
+		boot: m.Boot, host: EntryHost{Host: from, Zone: m.Zone, Relay: m.Relay}, primary: m.Home, group: m.Group,
+		fallback: m.Neighbour,
 	}
-	if before, ok := t.sync.clients.Get(from); ok && before.boot == c.boot {
-		c.newsAt = before.newsAt
+	if before, ok := t.seeded.clients.Get(from); ok && before.boot == c.boot {
+		c.updatedAt = before.updatedAt
 		if !m.Grouped {
 			c.group = before.group
 		}
 	}
-	t.beatsTold(m.Beats)
+	t.relayedHeartbeats(m.Beats)
 	if m.Epoch != t.settings.Incarnation {
 		c.revision = 0
 	}
-	if before, ok := t.sync.clients.Get(from); ok && before.boot == c.boot && before.sent > c.revision && t.now.Sub(before.sentAt) < underWay {
+	if before, ok := t.seeded.clients.Get(from); ok && before.boot == c.boot && before.sent > c.revision && t.now.Sub(before.sentAt) < underWay {
 		// What was sent is likely still under way: sent again it would only add
 		// to what holds it up.
 		c.revision, c.sent, c.sentAt = before.sent, before.sent, before.sentAt
 	}
-	t.answerSync(from, c, m)
+	t.replyTo(from, c, m)
 }
 
 // earlierLife is how long after a process was heard a question of one that started
 // before it is taken for late: longer than hosts leave between two questions. After
 // that the order of starts may be wrong, as they are told by clocks, which are set.
-const earlierLife = maxSyncInterval + minSyncInterval
+const earlierLife = maxPollInterval + minPollInterval
 
 // isOfEarlierProcess tells whether a question was under way for so long that another
 // process at the same address has been heard meanwhile.
-func (t *turn) isOfEarlierProcess(from ident.Host, m Sync) bool {
-	before, ok := t.sync.clients.Get(from)
-	return ok && m.Boot < before.boot && t.now.Sub(before.heard) < earlierLife
+func (t *transition) isOfEarlierProcess(from ident.Host, m Poll) bool {
+	before, ok := t.seeded.clients.Get(from)
+	return ok && m.Boot < before.boot && t.now.Sub(before.lastPoll) < earlierLife
 }
 
-// beatsTold takes the heartbeats that a relay heard: a replica for itself, a hub for
+// relayedHeartbeats takes the heartbeats that a relay heard: a replica for itself, a hub for
 // the replicas.
-func (t *turn) beatsTold(packed []byte) {
+func (t *transition) relayedHeartbeats(packed []byte) {
 	beats, _ := registry.Unpack(packed)
 	if !t.settings.IsReplica() {
-		t.relayHeard(beats...)
+		t.gatherHeartbeats(beats...)
 		return
 	}
 	for _, w := range beats {
-		t.beaten(w)
+		t.registerHeartbeat(w)
 	}
 }
 
 // underWay is how long registrations that were sent may take to arrive.
 const underWay = 2 * time.Second
 
-// answerSync sends what the client lacks and remembers what it has then.
-func (t *turn) answerSync(to ident.Host, c client, asked Sync) {
+// replyTo sends what the client lacks and remembers what it has then.
+func (t *transition) replyTo(to ident.Host, c client, asked Poll) {
 	workers, revision := t.nextWorkers(c.revision)
 	if t.hubsExpected() {
 		workers, revision = nil, c.revision
 	}
 	held := t.heldConfig().Version
-	a := SyncAnswer{
+	a := PollReply{
 		Round: asked.Round, Version: held,
 		Epoch: t.settings.Incarnation, Since: c.revision, Revision: revision, Workers: workers,
 	}
 	if t.settings.IsReplica() {
-		a = t.replicaWord(a, asked)
+		a = t.replicaReply(a, asked)
 	} else {
-		a = t.hubWord(a, asked)
+		a = t.hubReply(a, asked)
 	}
 	if a.Summed {
-		a.Loads = t.sumLoads().others(to, t.sync.hub.outside)
+		a.Loads = t.sumLoads().others(to, t.seeded.hub.outsideLoads)
 	}
-	a.Neighbour = c.neighbour
+	a.Neighbour = c.fallback
 	if asked.Lead {
-		a = t.tellHubs(a, asked)
-		a = t.tellNeighbours(a, asked)
+		a = t.withHubList(a, asked)
+		a = t.withFallbackPeers(a, asked)
 	}
-	if c.table && c.version < held && t.sync.bulkBytes < bulkBytesPerTick {
-		a.Gateway, a.Base = t.packedGateway(c.version)
+	if c.table && c.version < held && t.seeded.bulkBytes < bulkBytesPerTick {
+		a.Gateway, a.Base = t.packedTable(c.version)
 		c.version = held
-		t.sync.bulkBytes += len(a.Gateway)
+		t.seeded.bulkBytes += len(a.Gateway)
 	}
 	if revision > c.revision {
-		c.revision, c.sent, c.sentAt, c.newsAt = revision, revision, t.now, t.now
+		c.revision, c.sent, c.sentAt, c.updatedAt = revision, revision, t.now, t.now
 	}
-	t.sync.clients = t.sync.clients.With(to, c)
+	t.seeded.clients = t.seeded.clients.With(to, c)
 	t.send(to, a)
 }
 
-// replicaWord adds to an answer what only a replica knows.
-func (t *turn) replicaWord(a SyncAnswer, asked Sync) SyncAnswer {
+// replicaReply adds to an answer what only a replica knows.
+func (t *transition) replicaReply(a PollReply, asked Poll) PollReply {
 	a.Leader, a.Hosts = t.raft.Leader().Address(), t.sumLoads().serving
 	if asked.Lead {
 		a.Fresh = t.raft.LeaseHeld(t.now)
@@ -126,7 +126,7 @@
 }
 
 // heldConfig is the configuration that this host gives others.
-func (t *turn) heldConfig() config.Config {
+func (t *transition) heldConfig() config.Config {
 	if t.settings.IsReplica() {
 		return t.catalog.Config
 	}
@@ -139,38 +139,38 @@
 
 // rememberTable keeps the tables from which hosts may follow. Each is packed
 // once a version.
-func (t *turn) rememberTable(cfg config.Config) {
-	if !t.answersSync() {
+func (t *transition) rememberTable(cfg config.Config) {
+	if !t.answersPolls() {
 		return
 	}
-	t.sync.tables = t.sync.tables.With(cfg.Version, cfg.Gateway.WithoutSource())
-	for t.sync.tables.Len() > tableHistory {
-		oldest, _, _ := t.sync.tables.First()
-		t.sync.tables = t.sync.tables.Without(oldest)
+	t.seeded.tables = t.seeded.tables.With(cfg.Version, cfg.Gateway.WithoutSource())
+	for t.seeded.tables.Len() > tableHistory {
+		oldest, _, _ := t.seeded.tables.First()
+		t.seeded.tables = t.seeded.tables.Without(oldest)
 	}
-	t.sync.packed = table.Table[config.Version, []byte]{}
+	t.seeded.packed = table.Table[config.Version, []byte]{}
 }
 
-// packedGateway is what leads from the table of a version to the newest one:
+// packedTable is what leads from the table of a version to the newest one:
 // a delta, or with base 0 the whole table.
-func (t *turn) packedGateway(from config.Version) (record []byte, base config.Version) {
+func (t *transition) packedTable(from config.Version) (record []byte, base config.Version) {
 	newest := t.heldConfig().Gateway
-	old, ok := t.sync.tables.Get(from)
+	old, ok := t.seeded.tables.Get(from)
 	if !ok || old.Number == 0 {
 		from = 0
 	}
-	record, ok = t.sync.packed.Get(from)
+	record, ok = t.seeded.packed.Get(from)
 	if !ok {
 		record = newest.Packed()
 		if from != 0 {
 			record = old.DeltaTo(newest).Packed()
 		}
-		t.sync.packed = t.sync.packed.With(from, record)
+		t.seeded.packed = t.seeded.packed.With(from, record)
 	}
 	return record, from
 }
 
-func (t *turn) memberAddresses() []ident.Host {
+func (t *transition) memberAddresses() []ident.Host {
 	var out []ident.Host
 	for _, m := range t.raft.Members() {
 		if a := m.ID.Address(); !slices.Contains(out, a) {
@@ -206,19 +206,19 @@
 	sumShare       = 500 * time.Microsecond
 	// sumWarmUp is how long a replica that starts hears hosts before it tells
 	// sums, which would lack those not heard yet.
-	sumWarmUp = 2 * maxSyncInterval
+	sumWarmUp = 2 * maxPollInterval
 )
 
 // sumLoads returns the sums, added up anew where they are too old.
-func (t *turn) sumLoads() loadSums {
-	interval := max(minSumInterval, time.Duration(t.sync.clients.Len())*sumShare)
-	if t.now.Sub(t.sync.sums.at) < interval {
-		return t.sync.sums
+func (t *transition) sumLoads() loadSums {
+	interval := max(minSumInterval, time.Duration(t.seeded.clients.Len())*sumShare)
+	if t.now.Sub(t.seeded.sums.at) < interval {
+		return t.seeded.sums
 	}
 	next := loadSums{at: t.now, parts: map[ident.Host]loads.Digest{}}
-	for id, c := range t.sync.clients.All() {
-		if t.now.Sub(c.heard) > syncLife {
-			t.sync.clients = t.sync.clients.Without(id)
+	for id, c := range t.seeded.clients.All() {
+		if t.now.Sub(c.lastPoll) > clientLifetime {
+			t.seeded.clients = t.seeded.clients.Without(id)
 			continue
 		}
 		next.parts[id] = c.loads
@@ -226,8 +226,8 @@
 	if t.settings.Serves {
 		next.parts[t.settings.ID] = t.requests.Loads()
 	}
-	next.serving = len(t.entryHosts())
+	next.serving = len(t.liveEntryHosts())
 	next.total = loads.Sum(maps.Values(next.parts))
-	t.sync.sums = next
+	t.seeded.sums = next
 	return next
 }
--- a/core/host/targets.go
+++ b/core/host/targets.go
@@ -16,7 +16,7 @@
 // more than maxEjected of a service's last usable group, those are used all the
 // same: most likely the fault is on our side. Targets of a zone without hosts
 // of its own are used only while they answer: the zone may be cut off.
-func (t *turn) specs(id routing.GroupID, targets []config.Target) []routing.Spec {
+func (t *transition) specs(id routing.GroupID, targets []config.Target) []routing.Spec {
 	specs := make([]routing.Spec, 0, len(targets))
 	ejected := 0
 	for _, target := range targets {
@@ -41,11 +41,11 @@
 }
 
 // usableElsewhere tells whether another group of the service has an engine.
-func (t *turn) usableElsewhere(id routing.GroupID) bool {
+func (t *transition) usableElsewhere(id routing.GroupID) bool {
 	return slices.ContainsFunc(t.bound(id).Others, func(l routing.GroupLoad) bool { return l.Usable > 0 })
 }
 
-func (t *turn) reported(ev Reported) {
+func (t *transition) reported(ev Reported) {
 	h, _ := t.health.Get(ev.Target)
 	wasUsable := h.Usable(t.now)
 	if ev.Failed {
@@ -66,7 +66,7 @@
 	}
 }
 
-func (t *turn) listed(targets []ListedTarget) {
+func (t *transition) listed(targets []ListedTarget) {
 	seen := map[ident.Target]health.Listing{}
 	for _, l := range targets {
 		seen[l.ID] = l.Listing
@@ -83,14 +83,14 @@
 	}
 }
 
-func (t *turn) markLeaving(id ident.Target) {
+func (t *transition) markLeaving(id ident.Target) {
 	h, _ := t.health.Get(id)
-	t.setHealth(id, h.WithHeardSign(t.now), h.Usable(t.now))
+	t.setHealth(id, h.WithReportedLeaving(t.now), h.Usable(t.now))
 }
 
 // setHealth stores h; a change of the verdict is noted and takes effect in the
 // target's group at once.
-func (t *turn) setHealth(id ident.Target, h health.Target, wasUsable bool) {
+func (t *transition) setHealth(id ident.Target, h health.Target, wasUsable bool) {
 	t.health = t.health.With(id, h)
 	usable := h.Usable(t.now)
 	if usable == wasUsable {
--- a/core/host/view.go
+++ b/core/host/view.go
@@ -187,7 +187,7 @@
 	}
 	for id, p := range s.peers.All() {
 		d.Peers = append(d.Peers, DumpPeer{
-			Host: id, Zone: p.beat.Zone, Alive: p.alive, Draining: p.beat.Draining, Version: p.beat.Version, Heard: p.heard,
+			Host: id, Zone: p.heartbeat.Zone, Alive: p.alive, Draining: p.heartbeat.Draining, Version: p.heartbeat.Version, Heard: p.lastHeartbeat,
 		})
 	}
 	for id, g := range s.groups.All() {
@@ -218,17 +218,17 @@
 		r.Members = append(r.Members, DumpMember{Host: m.ID, Voter: m.Voter, Match: s.raft.Match(m.ID)})
 	}
 	for id, f := range s.followers.All() {
-		r.Followers = append(r.Followers, DumpFollower{Host: id, Version: f.version, Heard: f.heard})
+		r.Followers = append(r.Followers, DumpFollower{Host: id, Version: f.version, Heard: f.lastFollow})
 	}
 	return r
 }
 
 func (s State) dumpSync() *DumpSync {
 	d := &DumpSync{
-		Hosts: s.sync.hosts, Asks: s.sync.hub.askedLast, Serves: s.settings.IsReplica() || s.sync.hub.serves,
-		Askers: s.sync.clients.Len(), ConfirmedAt: s.requests.Confirmed(), Workers: s.requests.KnownWorkers(),
+		Hosts: s.seeded.hosts, Asks: s.seeded.hub.polledLast, Serves: s.settings.IsReplica() || s.seeded.hub.serves,
+		Askers: s.seeded.clients.Len(), ConfirmedAt: s.requests.Confirmed(), Workers: s.requests.KnownWorkers(),
 	}
-	for _, h := range s.sync.hub.list {
+	for _, h := range s.seeded.hub.list {
 		d.Hubs = append(d.Hubs, h.Host)
 	}
 	return d
--- a/core/host/write.go
+++ b/core/host/write.go
@@ -27,15 +27,15 @@
 	proposed raft.Term
 	// after is the version that must be held before the write is sent again.
 	after config.Version
-	// force is the committed version that answers the write once it is in force; 0
+	// inForce is the committed version that answers the write once it is in force; 0
 	// before.
-	force    config.Version
+	inForce  config.Version
 	deadline time.Time
 	resend   time.Time
 }
 
 // submit sends a write to the leader until it is answered or its time is over.
-func (t *turn) submit(w catalog.Write, deadline time.Time) {
+func (t *transition) submit(w catalog.Write, deadline time.Time) {
 	t.counters.Writes++
 	t.sendWrite(pendingWrite{write: w, deadline: deadline})
 }
@@ -43,7 +43,7 @@
 // overtaken tells whether a write is a route table whose number does not exceed
 // that of a committed one: it is taken note of and changes nothing, whatever
 // comes later, so it needs no place in the log.
-func (t *turn) overtaken(w catalog.Write) bool {
+func (t *transition) overtaken(w catalog.Write) bool {
 	edit, _ := w.Command.(catalog.Edit)
 	put, ok := edit.Change.(config.PutRouteTable)
 	return ok && !edit.Guarded && put.Gateway.Number <= t.catalog.Config.Gateway.Number && put.Gateway.Check() == nil
@@ -52,7 +52,7 @@
 // patched tells a route table by what differs from the one held, which is the
 // one in force in all likelihood. The log, the disks and the links between
 // replicas then carry a small change of a large table as a small entry.
-func (t *turn) patched(w catalog.Write) catalog.Write {
+func (t *transition) patched(w catalog.Write) catalog.Write {
 	edit, _ := w.Command.(catalog.Edit)
 	put, ok := edit.Change.(config.PutRouteTable)
 	held := t.catalog.Config.Gateway
@@ -64,9 +64,9 @@
 	return w
 }
 
-func (t *turn) sendWrite(p pendingWrite) {
-	if p.force > 0 || t.overtaken(p.write) {
-		t.awaitForce(p)
+func (t *transition) sendWrite(p pendingWrite) {
+	if p.inForce > 0 || t.overtaken(p.write) {
+		t.awaitInForce(p)
 		return
 	}
 	p.resend = t.now.Add(resendInterval)
@@ -94,14 +94,14 @@
 
 // baseMoved sends a patch again that was made from a table no longer in force,
 // once the one that is has come to this replica.
-func (t *turn) baseMoved(p pendingWrite, inForce config.Version) {
+func (t *transition) baseMoved(p pendingWrite, inForce config.Version) {
 	p.proposed, p.after = 0, inForce
 	t.writes = t.writes.With(p.write.ID, p)
 	t.sendMoved()
 }
 
 // sendMoved sends the writes again whose base has come.
-func (t *turn) sendMoved() {
+func (t *transition) sendMoved() {
 	for _, p := range t.writes.All() {
 		if p.after == 0 || t.catalog.Config.Version < p.after {
 			continue
@@ -111,7 +111,7 @@
 	}
 }
 
-func (t *turn) tickWrites() {
+func (t *transition) tickWrites() {
 	for id, p := range t.writes.All() {
 		switch {
 		case !t.now.Before(p.deadline):
@@ -124,7 +124,7 @@
 }
 
 // markProposed notes that a write that still waits stands in the log.
-func (t *turn) markProposed(id string) {
+func (t *transition) markProposed(id string) {
 	if p, ok := t.writes.Get(id); ok {
 		p.proposed = t.raft.Term()
 		t.writes = t.writes.With(id, p)
@@ -132,7 +132,7 @@
 }
 
 // propose tells whether the write now stands in this leader's log.
-func (t *turn) propose(w catalog.Write) bool {
+func (t *transition) propose(w catalog.Write) bool {
 	w.At = t.now
 	before := t.raft.Log().Last()
 	t.stepRaft(raft.Propose{Data: w.Encode()})
@@ -141,7 +141,7 @@
 
 // forwardWrite takes a write from another host; only a leader acts on it, and
 // a write that has an answer already gets it when it is applied again.
-func (t *turn) forwardWrite(from ident.Host, m ForwardWrite) {
+func (t *transition) forwardWrite(from ident.Host, m ForwardWrite) {
 	if t.raft.Role() != raft.Leader {
 		return
 	}
@@ -159,7 +159,7 @@
 	}
 }
 
-func (t *turn) writeAnswered(id string, r catalog.Result) {
+func (t *transition) writeAnswered(id string, r catalog.Result) {
 	p, ok := t.writes.Get(id)
 	if !ok {
 		return
@@ -173,7 +173,7 @@
 }
 
 // writeDone hands the answer to whom the write was for.
-func (t *turn) writeDone(id string, r catalog.Result, known bool) {
+func (t *transition) writeDone(id string, r catalog.Result, known bool) {
 	if request, ok := strings.CutPrefix(id, "claim/"); ok {
 		t.claimAnswered(ident.Request(request), r, known)
 		return
--- a/core/raft/state.go
+++ b/core/raft/state.go
@@ -40,8 +40,8 @@
 	return 0
 }
 
-// Heard returns, on a leader, when id last answered.
-func (s State) Heard(id ident.Host) time.Time { return s.progressOf(id).heard }
+// LastReply returns, on a leader, when id last answered.
+func (s State) LastReply(id ident.Host) time.Time { return s.progressOf(id).heard }
 
 // IsVoter tells whether this replica may vote by the member list in force.
 func (s State) IsVoter() bool { return s.isVoter(s.id) }
--- a/core/registry/address_test.go
+++ b/core/registry/address_test.go
@@ -32,12 +32,12 @@
 // arrives that was on its way for long.
 func TestAddressBelongsToTheLaterProcess(t *testing.T) {
 	var r registry.Registry
-	r, _ = r.WithBeat(processOf("earlier", 7), start)
-	r, changed := r.WithBeat(processOf("later", 1), start.Add(2*time.Second))
+	r, _ = r.WithHeartbeat(processOf("earlier", 7), start)
+	r, changed := r.WithHeartbeat(processOf("later", 1), start.Add(2*time.Second))
 	require.True(t, changed)
 	require.Equal(t, registry.Silent, stateOf(t, r, "earlier"))
 	require.Equal(t, registry.Ready, stateOf(t, r, "later"))
-	r, changed = r.WithBeat(processOf("earlier", 8), start.Add(3*time.Second))
+	r, changed = r.WithHeartbeat(processOf("earlier", 8), start.Add(3*time.Second))
 	require.False(t, changed)
 	require.Equal(t, registry.Silent, stateOf(t, r, "earlier"))
 	require.Equal(t, registry.Ready, stateOf(t, r, "later"))
@@ -50,12 +50,12 @@
 func TestLateHeartbeatOfAStrangerDoesNotKeepAWorkerOut(t *testing.T) {
 	var r registry.Registry
 	now := start
-	r, _ = r.WithBeat(processOf("alive", 1), now)
-	r, _ = r.WithBeat(processOf("late", 9), now)
+	r, _ = r.WithHeartbeat(processOf("alive", 1), now)
+	r, _ = r.WithHeartbeat(processOf("late", 9), now)
 	require.Equal(t, registry.Silent, stateOf(t, r, "alive"))
 	for seq := uint64(2); seq < 6; seq++ {
 		now = now.Add(beatTime)
-		r, _ = r.WithBeat(processOf("alive", seq), now)
+		r, _ = r.WithHeartbeat(processOf("alive", seq), now)
 	}
 	require.Equal(t, registry.Ready, stateOf(t, r, "alive"))
 	require.Equal(t, registry.Silent, stateOf(t, r, "late"))
@@ -65,7 +65,7 @@
 func TestWorkersWithoutAddressAreNotConfused(t *testing.T) {
 	var r registry.Registry
 	for _, id := range []ident.Target{"a", "b"} {
-		r, _ = r.WithBeat(registry.Worker{ID: id, Seq: 1}, start)
+		r, _ = r.WithHeartbeat(registry.Worker{ID: id, Seq: 1}, start)
 	}
 	require.Equal(t, 2, r.Ready())
 }
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -68,15 +68,15 @@
 // entry is a worker with the time it was last heard.
 type entry struct {
 	worker   Worker
-	heard    time.Time
+	lastSeen time.Time
 	revision uint64
 	// displaced counts the heartbeats since another process registered at the address.
 	displaced int
 }
 
-// reclaimBeats are the heartbeats after which a worker whose address another one has
+// reclaimHeartbeats are the heartbeats after which a worker whose address another one has
 // taken gets it back: a process that is gone leaves one or two on their way, not more.
-const reclaimBeats = 3
+const reclaimHeartbeats = 3
 
 const (
 	// forgetGone is how long a gone worker is remembered, so that a late
@@ -92,9 +92,9 @@
 	workers  table.Table[ident.Target, entry]
 	changes  table.Table[uint64, ident.Target]
 	revision uint64
-	// holders are the processes that registered last at each address. A heartbeat of an
+	// owners are the processes that registered last at each address. A heartbeat of an
 	// earlier one may arrive late, and must not bring it back.
-	holders table.Table[string, ident.Target]
+	owners table.Table[string, ident.Target]
 }
 
 // Revision counts the changes so far.
@@ -123,16 +123,16 @@
 	return e.worker, ok
 }
 
-// WithBeat takes a heartbeat. Late ones are ignored; changed tells whether the
+// WithHeartbeat takes a heartbeat. Late ones are ignored; changed tells whether the
 // worker's state, address or zone is other than before.
-func (r Registry) WithBeat(w Worker, now time.Time) (next Registry, changed bool) {
+func (r Registry) WithHeartbeat(w Worker, now time.Time) (next Registry, changed bool) {
 	have, known := r.workers.Get(w.ID)
 	if known && !Newer(w, have.worker) && !revives(w, have.worker) {
 		return r, false
 	}
 	if known && r.isDisplaced(w) {
 		have.displaced++
-		if have.displaced < reclaimBeats {
+		if have.displaced < reclaimHeartbeats {
 			r.workers = r.workers.With(w.ID, have)
 			return r, false
 		}
@@ -140,7 +140,7 @@
 	old := have.worker
 	old.Seq = w.Seq
 	if known && old == w {
-		have.worker, have.heard = w, now
+		have.worker, have.lastSeen = w, now
 		r.workers = r.workers.With(w.ID, have)
 		return r, false
 	}
@@ -149,7 +149,7 @@
 
 // isDisplaced tells whether another process registered later at a worker's address.
 func (r Registry) isDisplaced(w Worker) bool {
-	holder, ok := r.holders.Get(w.Address)
+	holder, ok := r.owners.Get(w.Address)
 	return ok && holder != w.ID
 }
 
@@ -158,14 +158,14 @@
 	if address == "" {
 		return r
 	}
-	holder, held := r.holders.Get(address)
-	r.holders = r.holders.With(address, to)
+	holder, held := r.owners.Get(address)
+	r.owners = r.owners.With(address, to)
 	e, known := r.workers.Get(holder)
 	if !held || holder == to || !known || e.worker.State != Ready || e.worker.Address != address {
 		return r
 	}
 	e.worker.State = Silent
-	return r.with(e.worker, e.heard)
+	return r.with(e.worker, e.lastSeen)
 }
 
 // revives tells whether a heartbeat of a silent worker shows that it lives.
@@ -188,12 +188,12 @@
 	}
 	r.revision++
 	r.changes = r.changes.With(r.revision, w.ID)
-	r.workers = r.workers.With(w.ID, entry{worker: w, heard: now, revision: r.revision})
+	r.workers = r.workers.With(w.ID, entry{worker: w, lastSeen: now, revision: r.revision})
 	return r
 }
 
-// WithWord takes what another registry told of a worker.
-func (r Registry) WithWord(w Worker, now time.Time) Registry {
+// WithReport takes what another registry told of a worker.
+func (r Registry) WithReport(w Worker, now time.Time) Registry {
 	have, known := r.workers.Get(w.ID)
 	if known && !Newer(w, have.worker) {
 		return r
@@ -207,8 +207,8 @@
 		if e.over(now) {
 			r.workers = r.workers.Without(id)
 			r.changes = r.changes.Without(e.revision)
-			if holder, _ := r.holders.Get(e.worker.Address); holder == id {
-				r.holders = r.holders.Without(e.worker.Address)
+			if holder, _ := r.owners.Get(e.worker.Address); holder == id {
+				r.owners = r.owners.Without(e.worker.Address)
 			}
 		}
 	}
@@ -218,7 +218,7 @@
 // over tells whether the worker has been gone or silent for so long that it may be
 // forgotten.
 func (e entry) over(now time.Time) bool {
-	age := now.Sub(e.heard)
+	age := now.Sub(e.lastSeen)
 	return e.worker.State == Gone && age > forgetGone || e.worker.State == Silent && age > forgetSilent
 }
 
@@ -227,10 +227,10 @@
 func (r Registry) Expire(silentAfter time.Duration, now time.Time) (next Registry, changed bool) {
 	r = r.Forget(now)
 	for _, e := range r.workers.All() {
-		if e.worker.State != Gone && e.worker.State != Silent && now.Sub(e.heard) > silentAfter {
+		if e.worker.State != Gone && e.worker.State != Silent && now.Sub(e.lastSeen) > silentAfter {
 			w := e.worker
 			w.State = Silent
-			r = r.with(w, e.heard)
+			r = r.with(w, e.lastSeen)
 			changed = true
 		}
 	}
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -47,14 +47,14 @@
 
 func TestFollowersAreSentOnlyWhatChanged(t *testing.T) {
 	var r registry.Registry
-	r, changed := r.WithBeat(worker(1, registry.Ready), start)
+	r, changed := r.WithHeartbeat(worker(1, registry.Ready), start)
 	require.True(t, changed)
 	_, seen := r.After(0, 10)
-	r, changed = r.WithBeat(worker(2, registry.Ready), start.Add(time.Second))
+	r, changed = r.WithHeartbeat(worker(2, registry.Ready), start.Add(time.Second))
 	require.False(t, changed, "a heartbeat that says nothing new is no change")
 	none, _ := r.After(seen, 10)
 	require.Empty(t, none)
-	r, changed = r.WithBeat(worker(3, registry.Draining), start.Add(2*time.Second))
+	r, changed = r.WithHeartbeat(worker(3, registry.Draining), start.Add(2*time.Second))
 	require.True(t, changed)
 	news, _ := r.After(seen, 10)
 	require.Len(t, news, 1)
@@ -63,11 +63,11 @@
 
 func TestLateHeartbeatsChangeNothing(t *testing.T) {
 	var r registry.Registry
-	r, _ = r.WithBeat(worker(5, registry.Draining), start)
-	r, changed := r.WithBeat(worker(4, registry.Ready), start)
+	r, _ = r.WithHeartbeat(worker(5, registry.Draining), start)
+	r, changed := r.WithHeartbeat(worker(4, registry.Ready), start)
 	require.False(t, changed)
 	r, _ = r.WithGone("w", start)
-	r, changed = r.WithBeat(worker(9, registry.Ready), start)
+	r, changed = r.WithHeartbeat(worker(9, registry.Ready), start)
 	require.False(t, changed, "a late heartbeat brings nobody back")
 	w, _ := r.Get("w")
 	require.Equal(t, registry.Gone, w.State)
@@ -75,12 +75,12 @@
 
 func TestSilentWorkerIsToldAndRevived(t *testing.T) {
 	var r registry.Registry
-	r, _ = r.WithBeat(worker(1, registry.Ready), start)
+	r, _ = r.WithHeartbeat(worker(1, registry.Ready), start)
 	r, changed := r.Expire(6*time.Second, start.Add(7*time.Second))
 	require.True(t, changed)
 	w, _ := r.Get("w")
 	require.Equal(t, registry.Silent, w.State)
-	r, changed = r.WithBeat(worker(2, registry.Ready), start.Add(8*time.Second))
+	r, changed = r.WithHeartbeat(worker(2, registry.Ready), start.Add(8*time.Second))
 	require.True(t, changed)
 	w, _ = r.Get("w")
 	require.Equal(t, registry.Ready, w.State)
@@ -93,7 +93,7 @@
 func TestManyChangesComeInPieces(t *testing.T) {
 	var r registry.Registry
 	for i := range 8 {
-		r, _ = r.WithBeat(registry.Worker{ID: ident.Target(fmt.Sprint("w", i)), Seq: 1}, start)
+		r, _ = r.WithHeartbeat(registry.Worker{ID: ident.Target(fmt.Sprint("w", i)), Seq: 1}, start)
 	}
 	got := make([]registry.Worker, 0, 8)
 	var seen uint64
--- a/daemon/counters_test.go
+++ b/daemon/counters_test.go
@@ -18,6 +18,10 @@
 	require.NoError(t, err)
 	fields := reflect.TypeFor[host.Counters]()
 	for i := range fields.NumField() {
-		require.Contains(t, string(page), "core."+fields.Field(i).Name)
+		name := fields.Field(i).Name
+		if tag := fields.Field(i).Tag.Get("json"); tag != "" {
+			name = tag
+		}
+		require.Contains(t, string(page), "core."+name)
 	}
 }
--- a/daemon/delays.go
+++ b/daemon/delays.go
@@ -54,8 +54,8 @@
 	}
 	if d.worst >= shortDelay {
 		d.log.Info("processor is short", "tick_delay_ms", millis(d.worst), "over_ms", millis(now.Sub(d.lineAt)),
-			"events_waiting", waiting, "beats", c.Beats-d.before.Beats, "beats_named", c.BeatsNamed-d.before.BeatsNamed,
-			"beats_declined", c.BeatsDeclined-d.before.BeatsDeclined)
+			"events_waiting", waiting, "beats", c.Heartbeats-d.before.Heartbeats, "beats_named", c.HeartbeatsRedirected-d.before.HeartbeatsRedirected,
+			"beats_declined", c.HeartbeatsDeclined-d.before.HeartbeatsDeclined)
 	}
 	d.worst, d.lineAt, d.before = 0, now, c
 	return late
--- a/daemon/delays_test.go
+++ b/daemon/delays_test.go
@@ -21,7 +21,7 @@
 	tick := func(n int, every time.Duration, beats uint64) {
 		for range n {
 			now = now.Add(every)
-			d.ticked(now, 7, host.Counters{Beats: beats})
+			d.ticked(now, 7, host.Counters{Heartbeats: beats})
 		}
 	}
 	tick(1, tickInterval, 0)
--- a/daemon/disk.go
+++ b/daemon/disk.go
@@ -111,5 +111,5 @@
 		}
 	}
 	last := batch[len(batch)-1]
-	d.loop.post(host.DiskSynced{Persisted: raft.Persisted{Index: last.Index, Term: last.Term}})
+	d.loop.post(host.EntriesPersisted{Persisted: raft.Persisted{Index: last.Index, Term: last.Term}})
 }
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -118,7 +118,7 @@
 			if !l.toWaiting(e.Decision) {
 				own = append(own, e)
 			}
-		case host.BeatAnswer:
+		case host.HeartbeatAnswer:
 			own = append(own, e)
 		default:
 			l.carryOut(ctx, e)
@@ -187,13 +187,13 @@
 }
 
 // Hear implements platform.Core: it feeds a worker's word and returns the answer.
-func (l *loop) Hear(ev host.Event) host.BeatAnswer {
+func (l *loop) Hear(ev host.Event) host.HeartbeatAnswer {
 	for _, e := range l.reduce(context.Background(), ev) {
-		if a, ok := e.(host.BeatAnswer); ok {
+		if a, ok := e.(host.HeartbeatAnswer); ok {
 			return a
 		}
 	}
-	return host.BeatAnswer{}
+	return host.HeartbeatAnswer{}
 }
 
 // Limits implements requests.Core.
--- a/peers/bench_test.go
+++ b/peers/bench_test.go
@@ -35,8 +35,8 @@
 }
 
 // benchAnswer is an answer with the loads and registrations of benchWorkers.
-func benchAnswer() host.SyncAnswer {
-	m, counts := host.SyncAnswer{Round: 1, Fresh: true, Summed: true}, loads.Counts{}
+func benchAnswer() host.PollReply {
+	m, counts := host.PollReply{Round: 1, Fresh: true, Summed: true}, loads.Counts{}
 	workers := make([]registry.Worker, 0, benchWorkers)
 	for i := range benchWorkers {
 		id := ident.Target(fmt.Sprintf("i-%010x", i*7919))
--- a/peers/first_test.go
+++ b/peers/first_test.go
@@ -50,7 +50,7 @@
 			case <-stop:
 				return
 			case <-time.After(20 * time.Millisecond):
-				other.Send(address, host.Sync{Version: 1})
+				other.Send(address, host.Poll{Version: 1})
 			}
 		}
 	}()
@@ -58,7 +58,7 @@
 	first.From = &net.TCPAddr{IP: replica.AsSlice()}
 	pool := peers.NewPool(first)
 	defer pool.Close()
-	pool.Send(address, host.Sync{Version: 2})
+	pool.Send(address, host.Poll{Version: 2})
 	require.EqualValues(t, "replica", <-heard, "all passes are out, and more hosts wait for one")
 	for _, conn := range silent {
 		require.NoError(t, conn.Close())
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -73,7 +73,7 @@
 	}, time.Minute, 20*time.Millisecond)
 }
 
-var beat = host.Gossip{Beat: host.Beat{Host: "a", Counter: 1}}
+var beat = host.PeerHeartbeat{Beat: host.Heartbeat{Host: "a", Counter: 1}}
 
 func TestOnlyHostsOfTheFleetAreHeard(t *testing.T) {
 	address, taken := serve(t, options("b"))
