--- /dev/null
+++ b/core/membership/membership_test.go
@@ -0,0 +1,75 @@
+// Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
+
+package membership_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/yardhall/yardhall/core/ident"
+	"github.com/yardhall/yardhall/core/membership"
+	"github.com/yardhall/yardhall/core/raft"
+)
+
+const self ident.Host = "a:1#disk"
+
+var start = time.Unix(1000, 0)
+
+// leaderOf returns a replica that leads a group of itself alone, and the time then.
+func leaderOf(t *testing.T, members ...raft.Member) (raft.State, time.Time) {
+	t.Helper()
+	boot := raft.Boot{Members: append([]raft.Member{{ID: self, Voter: true}}, members...)}
+	s, now := raft.New(self, raft.Options{}, 1, boot, start), start
+	for range 1000 {
+		if s.LeaseHeld(now) && s.MembersCommitted() {
+			return s, now
+		}
+		now = now.Add(50 * time.Millisecond)
+		s = step(s, raft.Tick{}, now)
+	}
+	require.Fail(t, "no leader")
+	return s, now
+}
+
+// step feeds an event, and has the disk keep everything at once.
+func step(s raft.State, ev raft.Event, now time.Time) raft.State {
+	next, effects := s.Step(ev, now)
+	for _, e := range effects {
+		if p, ok := e.(raft.Persist); ok {
+			next = step(next, raft.Persisted{Index: p.Index, Term: p.Term}, now)
+		}
+	}
+	return next
+}
+
+func TestReplicaThatAsksBecomesALearner(t *testing.T) {
+	leader, now := leaderOf(t)
+	s := membership.State{}.WithRequest("b:1#disk", now)
+	s, change, ok := s.Next(leader, self, 3, now)
+	require.True(t, ok)
+	require.Equal(t, raft.ChangeMember{Member: raft.Member{ID: "b:1#disk"}}, change)
+	_, _, ok = s.Next(leader, self, 3, now)
+	require.False(t, ok, "one look at a time")
+}
+
+func TestRequestIsForgotten(t *testing.T) {
+	leader, now := leaderOf(t)
+	s := membership.State{}.WithRequest("b:1#disk", now.Add(-2*time.Second))
+	_, _, ok := s.Next(leader, self, 3, now)
+	require.False(t, ok)
+}
+
+func TestReplicaAsksWhileItKnowsNoLeader(t *testing.T) {
+	alone := raft.New("b:1#disk", raft.Options{}, 1, raft.Boot{}, start)
+	s, due := membership.State{}.RequestDue(alone, start, start)
+	require.True(t, due)
+	s, due = s.RequestDue(alone, start, start.Add(100*time.Millisecond))
+	require.False(t, due, "not again at once")
+	_, due = s.RequestDue(alone, start, start.Add(time.Second))
+	require.True(t, due)
+	leader, now := leaderOf(t)
+	_, due = membership.State{}.RequestDue(leader, start, now)
+	require.False(t, due)
+}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -14,7 +14,6 @@
 import (
 	"context"
 	"net"
-	"net/http"
 	"net/netip"
 	"slices"
 	"time"
@@ -23,14 +22,10 @@
 	"github.com/oklog/run"
 	"github.com/pkg/errors"
 
-	"github.com/yardhall/yardhall/callers"
-	"github.com/yardhall/yardhall/common/sockets"
 	"github.com/yardhall/yardhall/core/host"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/raft"
 	"github.com/yardhall/yardhall/gateway"
-	"github.com/yardhall/yardhall/listing"
-	"github.com/yardhall/yardhall/operators"
 	"github.com/yardhall/yardhall/peers"
 	"github.com/yardhall/yardhall/settings"
 	"github.com/yardhall/yardhall/storage"
@@ -90,11 +85,14 @@
 	})
 	hs := host.Settings{
 		ID: s.ID(), Zone: ident.Zone(s.Host.Zone), Address: s.Peer.Address(), Serves: s.Serves(),
-		Replicas: s.Replicas.Hosts(), Neighbours: s.Neighbors.Hosts(), Raft: raftOptions(s, o.Raft),
+		Replicas: s.Replicas.Hosts(), Neighbours: s.Neighbors.Hosts(), Raft: o.Raft,
 		Incarnation: incarnation, Chats: s.Host.Chats, Seeds: s.SeedHosts(), Voters: 2*s.Replicas.Losses + 1,
-		SilentAfter: silentBeats * s.Gateway.Heartbeat, Requests: gatewaySettings(s), Relay: s.Gateway.Relay,
+		SilentAfter: host.WorkerSilence(s.Gateway.Heartbeat), Requests: gatewaySettings(s), Relay: s.Gateway.Relay,
 		HubsAbove: s.Replicas.HubsAbove, InForce: min(s.Gateway.InForce, s.Gateway.Revoke),
 	}
+	if s.Seeded() {
+		hs.Raft = host.SeededRaft(o.Raft)
+	}
 	log, boot, err := d.openStorage(&hs)
 	if err != nil {
 		return nil, err
@@ -151,27 +149,6 @@
 	return o, err
 }
 
-func (d *Daemon) listen() error {
-	var err error
-	if d.peerL, err = listenTCP(d.settings.Peer.Listen); err != nil {
-		return err
-	}
-	if d.settings.Callers.Listen != "" {
-		if d.callerL, err = listenTCP(d.settings.Callers.Listen); err != nil {
-			return err
-		}
-	}
-	if d.settings.Operators.Listen != "" {
-		d.operL, err = listenTCP(d.settings.Operators.Listen)
-	}
-	return err
-}
-
-func listenTCP(address string) (net.Listener, error) {
-	l, err := net.Listen("tcp", address)
-	return l, errors.Wrap(err, "listen")
-}
-
 // Run serves until ctx ends, then stops as planned: not ready first, no new
 // requests after a while, every request in flight finished, then the rest.
 func (d *Daemon) Run(ctx context.Context) error {
@@ -207,39 +184,6 @@
 	return errors.Wrap(err, "run")
 }
 
-// awaitStop waits for ctx and then drains.
-func (d *Daemon) awaitStop(ctx, inner context.Context) error {
-	select {
-	case <-ctx.Done():
-	case <-inner.Done():
-		return context.Canceled
-	}
-	d.options.Log.Info("planned stop", "host", d.settings.Host.ID)
-	d.loop.post(host.Drain{})
-	if d.settings.Seeded() {
-		return d.awaitGateway()
-	}
-	deadline := time.Now().Add(d.settings.Callers.DrainLimit)
-	if d.callerL != nil {
-		// The balancer needs time to notice; meanwhile requests are taken.
-		time.Sleep(d.settings.Callers.DrainNotice)
-		_ = d.callerL.Close()
-	} else {
-		time.Sleep(handOverTime)
-	}
-	for time.Now().Before(deadline) && !d.loop.State().Idle() {
-		time.Sleep(idlePoll)
-	}
-	time.Sleep(idlePoll)
-	return context.Canceled
-}
-
-const (
-	// handOverTime lets a replica pass on its leadership.
-	handOverTime = 500 * time.Millisecond
-	idlePoll     = 50 * time.Millisecond
-)
-
 func (d *Daemon) addLoop(ctx context.Context, g *run.Group, stop func()) {
 	g.Add(func() error { return d.loop.run(ctx) }, func(error) { stop() })
 	if d.loop.disk == nil {
@@ -252,107 +196,6 @@
 	}, func(error) { stop() })
 }
 
-func (d *Daemon) addPeers(g *run.Group) {
-	g.Add(func() error { return d.server.Serve(d.peerL) }, func(error) {
-		_ = d.peerL.Close()
-		d.server.Close()
-	})
-}
-
-func (d *Daemon) addCallers(g *run.Group) error {
-	s := d.settings.Callers
-	api := callers.New(callers.Deps{
-		Core: d.loop, Targets: d.targets, Observe: d.metrics.observe, Answers: d.loop.answers,
-		Options: callers.Options{
-			MaxBody: settings.Bytes(s.MaxBody), WriteStall: s.WriteStall, MaxStream: s.MaxStream,
-			ID: d.settings.ID(), Incarnation: d.loop.State().Incarnation(),
-		},
-	})
-	l, err := withTLS(d.callerL, s.Cert, s.KeyFile)
-	if err != nil {
-		return err
-	}
-	d.addHTTP(g, l, &http.Server{
-		Handler: api.Handler(), ReadTimeout: s.ReadTimeout, IdleTimeout: s.IdleTimeout,
-		MaxHeaderBytes: int(settings.Bytes(s.MaxHeader)),
-	})
-	return nil
-}
-
-// shutdownTime is what handlers get to write their last bytes; by then no
-// request is in flight in the core.
-const shutdownTime = 5 * time.Second
-
-func (d *Daemon) addHTTP(g *run.Group, l net.Listener, server httpServer) {
-	ended := make(chan struct{})
-	g.Add(func() error {
-		err := server.Serve(l)
-		// A closed listener alone must not end the group: requests in flight
-		// go on until the planned stop is over.
-		if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-			return errors.Wrap(err, "serve")
-		}
-		<-ended
-		return nil
-	}, func(error) {
-		if d.killed.Err() == nil {
-			stopHTTP(l, server)
-		}
-		_ = server.Close()
-		close(ended)
-	})
-}
-
-// stopHTTP ends a server as planned: whoever has connected is answered, and
-// whoever has not is refused.
-func stopHTTP(l net.Listener, server httpServer) {
-	if sockets.RefuseNew(l) == nil {
-		// Those that have connected until now are accepted meanwhile.
-		time.Sleep(acceptTime)
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownTime)
-	defer cancel()
-	_ = server.Shutdown(ctx)
-}
-
-// acceptTime is how long connections that are being opened get to be accepted
-// before a listener closes.
-const acceptTime = 100 * time.Millisecond
-
-const (
-	operatorReadTimeout = 10 * time.Second
-	operatorHeader      = 16 << 10
-)
-
-func (d *Daemon) addOperators(g *run.Group) error {
-	s := d.settings.Operators
-	api := operators.New(operators.Deps{
-		Core: d.loop, KeyHashes: s.KeyHashes, Counters: d.metrics.handler(),
-	})
-	l, err := withTLS(d.operL, s.Cert, s.KeyFile)
-	if err != nil {
-		return err
-	}
-	d.addHTTP(g, l, &http.Server{
-		Handler: api.Handler(), ReadTimeout: operatorReadTimeout, MaxHeaderBytes: operatorHeader,
-	})
-	return nil
-}
-
-func (d *Daemon) addPlatform(ctx context.Context, g *run.Group) {
-	s := d.settings.Platform
-	if s.URL == "" && s.File == "" {
-		return
-	}
-	reader := listing.NewReader(s.URL, s.File)
-	ctx, cancel := context.WithCancel(ctx)
-	g.Add(func() error {
-		reader.Run(ctx, s.Interval, func(list []host.ListedTarget) { d.loop.post(host.Listed{Targets: list}) },
-			func(err error) { d.options.Log.Error(err, "platform list cannot be read") })
-		return nil
-	}, func(error) { cancel() })
-}
-
 // State returns the newest state of the core.
 func (d *Daemon) State() host.State { return d.loop.State() }
 
--- a/daemon/data.go
+++ b/daemon/data.go
@@ -59,7 +59,7 @@
 const foundingDisk = "first"
 
 // firstIdentity names an empty data folder. Hosts named as seeds at the very
-// first start form the first group without a word between them: all know its
+// first start form the first group without any message between them: all know its
 // members. Any other empty folder gets a name that nobody had before, and so
 // has no vote until the group has taken it in.
 func firstIdentity(s settings.Settings) (ident.Host, []raft.Member) {
--- a/daemon/delays.go
+++ b/daemon/delays.go
@@ -26,7 +26,7 @@
 type delays struct {
 	log  logr.Logger
 	last time.Time
-	// worst is the latest tick since the line at lineAt, which told of counters before.
+	// worst is the latest tick since the line at lineAt, which showed the counters before.
 	worst  time.Duration
 	lineAt time.Time
 	before host.Counters
--- /dev/null
+++ b/daemon/effects.go
@@ -0,0 +1,77 @@
+// Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
+
+package daemon
+
+import (
+	"context"
+	"time"
+
+	"github.com/yardhall/yardhall/core/config"
+	"github.com/yardhall/yardhall/core/host"
+	"github.com/yardhall/yardhall/targets"
+)
+
+func (l *loop) carryOut(ctx context.Context, e host.Effect) {
+	switch e := e.(type) {
+	case host.Send:
+		l.pool.Send(e.To, e.Message)
+	case host.Persist:
+		l.disk.queue(e.Persist)
+	case host.Dispatch:
+		l.toCall(e.Request, e, false)
+	case host.Finish:
+		l.toCall(e.Request, e, true)
+	case host.Probe:
+		go l.probe(ctx, e.Target)
+	case host.SendOrder:
+		go l.order(ctx, e)
+	case host.AnswerWrite:
+		l.answerWrite(e)
+	case host.Note:
+		l.notes.observe(e)
+	case host.LookUp:
+		l.lookUp(e)
+	case host.KnowHosts:
+		l.pool.Know(e.Hosts)
+	case host.AnswerRead:
+		l.answerRead(e)
+	}
+}
+
+// lookUp sends a kept answer to the host that asked for it.
+func (l *loop) lookUp(e host.LookUp) {
+	m := host.AnswerOf{For: e.For, Answer: l.answers.Get(e.Request)}
+	if self := l.state.Load().ID(); e.To == self {
+		// The loop cannot wait for itself.
+		go l.post(host.Received{From: self, Message: m})
+		return
+	}
+	l.pool.Send(e.To, m)
+}
+
+func (l *loop) probe(ctx context.Context, t config.Target) {
+	load, err := l.targets.Load(ctx, t.Address)
+	if ctx.Err() != nil {
+		return
+	}
+	l.post(host.Reported{
+		Target: t.ID, Failed: err != nil, Boot: load.Boot, Seq: load.Seq, InFlight: load.InFlight, Leaving: load.Leaving,
+	})
+}
+
+// orderTimeout bounds an order to an engine, loading included.
+const orderTimeout = 4 * time.Minute
+
+func (l *loop) order(ctx context.Context, e host.SendOrder) {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	defer cancel()
+	err := l.targets.Order(ctx, targets.FencedOrder{
+		Address: e.Order.Target.Address, NotAfter: e.Order.NotAfter, ReadFirst: e.ReadFirst,
+		Body: targets.OrderBody{Token: e.Order.Token, Action: e.Order.Action, Model: e.Order.Model},
+	}, l.now)
+	ended := host.OrderEnded{Order: e.Order, OK: err == nil}
+	if err != nil {
+		ended.Error = err.Error()
+	}
+	l.post(ended)
+}
--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -14,7 +14,6 @@
 	"github.com/yardhall/yardhall/common/sockets"
 	"github.com/yardhall/yardhall/core/host"
 	"github.com/yardhall/yardhall/core/ident"
-	"github.com/yardhall/yardhall/core/raft"
 	"github.com/yardhall/yardhall/core/requests"
 	"github.com/yardhall/yardhall/gateway"
 	"github.com/yardhall/yardhall/platform"
@@ -22,13 +21,6 @@
 )
 
 const (
-	// silentBeats is how many heartbeats a worker may miss.
-	silentBeats = 5
-	// balancerNotice is how long a stopping host goes on taking connections,
-	// until the balancer has noticed that it is not ready.
-	balancerNotice = 3 * time.Second
-	// stopMargin is kept from the time that a planned stop may take.
-	stopMargin = 700 * time.Millisecond
 	// callerIdle is how long a caller's connection may rest where the route table
 	// does not say.
 	callerIdle = time.Minute
@@ -43,33 +35,10 @@
 	return requests.Settings{
 		Zone: ident.Zone(s.Host.Zone), KeyLease: g.KeyLease,
 		RetryShare: settings.Number(g.RetryShare), RetryExtra: settings.Number(g.RetryExtra),
-		LoadFactor: settings.Number(g.LoadFactor), StartTime: startTime(),
+		LoadFactor: settings.Number(g.LoadFactor), StartTime: host.StartTime(),
 	}
 }
 
-// Times of the replicated log in a seeded fleet, whose entry hosts wait for a
-// leader's word: shorter than elsewhere, as an election is an outage there.
-const (
-	seededElection  = 900 * time.Millisecond
-	seededHeartbeat = 200 * time.Millisecond
-)
-
-// startTime is how long an entry host may need to become able where replicas start
-// at the same time: the wait of a restarted replica, the longest draw of an election,
-// and a question to the leader.
-func startTime() time.Duration { return 2*seededElection + firstQuestion }
-
-// firstQuestion is the time from a leader's election until a host knows of it: its
-// interval between questions, and as much for the answer.
-const firstQuestion = 500 * time.Millisecond
-
-func raftOptions(s settings.Settings, o raft.Options) raft.Options {
-	if s.Seeded() && o.Election == 0 {
-		o.Election, o.Heartbeat = seededElection, seededHeartbeat
-	}
-	return o
-}
-
 // addGateway opens the ports of the route table.
 func (d *Daemon) addGateway(g *run.Group) error {
 	s := d.settings.Gateway
@@ -136,25 +105,3 @@
 		d.loop.Post(host.Reseeded{Seeds: s.SeedHosts()})
 	}
 }
-
-// awaitGateway goes on serving until the balancer has noticed the stop and
-// every request in flight has ended.
-func (d *Daemon) awaitGateway() error {
-	begun := time.Now()
-	if d.settings.Gateway.Listen == "" {
-		time.Sleep(handOverTime)
-		return context.Canceled
-	}
-	deadline := begun.Add(d.settings.Gateway.DrainTime - stopMargin)
-	time.Sleep(balancerNotice)
-	// Callers' kept connections must not bring requests until the end. They are
-	// left open, as a close could cross a request; each answer closes its own.
-	d.loop.Route(requests.Closing{})
-	for time.Now().Before(deadline) {
-		if d.gateway.InFlight.Load() == 0 {
-			break
-		}
-		time.Sleep(idlePoll)
-	}
-	return context.Canceled
-}
--- a/daemon/notes.go
+++ b/daemon/notelog.go
@@ -11,8 +11,8 @@
 	"github.com/yardhall/yardhall/core/host"
 )
 
-// workerLines is how many lines a second tell of workers: when a large fleet starts,
-// thousands are heard of at the same time.
+// workerLines is how many lines a second are written on workers: when a large fleet starts,
+// thousands register at the same time.
 const workerLines = 100
 
 // noteLog writes a line for each change of what this process believes. All but
--- a/daemon/paced_test.go
+++ b/daemon/pacedserver_test.go
@@ -21,18 +21,18 @@
 // to a handler that is slow: few are at work at once, and all are answered.
 func TestPacedServerTakesFewConnectionsAtOnce(t *testing.T) {
 	most := pacedLoad(t, time.Hour, 0)
-	require.LessOrEqual(t, most, int64(pacedActive))
+	require.LessOrEqual(t, most, int64(maxPace))
 }
 
 // TestSilentCallersKeepNobodyOut has more callers connect and say nothing than may
 // be at work at once.
 func TestSilentCallersKeepNobodyOut(t *testing.T) {
-	pacedLoad(t, 10*time.Millisecond, 2*pacedActive)
+	pacedLoad(t, 10*time.Millisecond, 2*maxPace)
 }
 
 // pacedLoad has many callers call a paced server at once, after some that say
 // nothing, and returns how many of the calls were at work at the same time.
-func pacedLoad(t *testing.T, patience time.Duration, silent int) int64 {
+func pacedLoad(t *testing.T, workTime time.Duration, silent int) int64 {
 	t.Helper()
 	var working, most atomic.Int64
 	s := newPacedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -43,7 +43,7 @@
 		time.Sleep(2 * time.Millisecond)
 		w.WriteHeader(http.StatusNoContent)
 	}), time.Minute, newPace())
-	s.patience = patience
+	s.workTime = workTime
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
 	ended := make(chan error, 1)
@@ -102,11 +102,11 @@
 	for range 10 {
 		p.ticked(3 * lateTick)
 	}
-	require.Equal(t, pacedLeast, p.gate.Limit())
+	require.Equal(t, minPace, p.gate.Limit())
 	require.True(t, p.short())
 	p.ticked(lateTick)
-	require.Equal(t, pacedLeast, p.gate.Limit(), "neither late nor in time")
-	for range pacedActive {
+	require.Equal(t, minPace, p.gate.Limit(), "neither late nor in time")
+	for range maxPace {
 		p.ticked(0)
 	}
 	require.False(t, p.short())
@@ -125,10 +125,10 @@
 		}
 		return n
 	}
-	for perSecond, want := range map[int]int{20: leastBacklog, 100: 40, 10_000: pacedBacklog} {
+	for perSecond, want := range map[int]int{20: minBacklog, 100: 40, 10_000: maxBacklog} {
 		accept(perSecond, true)
 		require.InDelta(t, want, accept(perSecond, true), 2, "%d a second", perSecond)
 	}
 	accept(100, false)
-	require.Equal(t, pacedBacklog, accept(100, false))
+	require.Equal(t, maxBacklog, accept(100, false))
 }
--- /dev/null
+++ b/gateway/call.go
@@ -0,0 +1,96 @@
+// Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
+
+// Package gateway is the entry for requests of the route table: it takes them
+// over HTTP, sends each to the worker that the core picks, over kept
+// connections that carry one request at a time, and gives the worker's answer
+// back unchanged.
+//
+// # Usage
+//
+//	s := gateway.NewServer(gateway.Deps{Core: core, Pool: pool, Headers: gateway.DefaultHeaders()})
+//	http.Serve(listener, s)
+//
+// Nothing is sent twice below the core: each try is one Dispatch.
+package gateway
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/yardhall/yardhall/core/config"
+	"github.com/yardhall/yardhall/core/outcome"
+	"github.com/yardhall/yardhall/core/requests"
+)
+
+// serverCall is one request in progress.
+type serverCall struct {
+	server   *Server
+	writer   http.ResponseWriter
+	request  *http.Request
+	body     []byte
+	begun    time.Time
+	relay    relay
+	answer   *answer
+	observed Observation
+}
+
+// run follows the core's decisions to the end of the request.
+func (c *serverCall) run(req requests.Request) {
+	next := c.server.nextDecision(requests.Arrived{Request: req})
+	for {
+		switch d := next.(type) {
+		case requests.Wait:
+			next = c.server.core.Await(c.request.Context(), d.Request)
+			c.observed.Waited = c.server.now().Sub(c.begun)
+		case requests.Dispatch:
+			next = c.server.nextDecision(c.try(d))
+		case requests.Finish:
+			c.observed.Inputs = d.Inputs
+			c.finish(d.Verdict)
+			return
+		default:
+			c.finish(requests.Verdict{Outcome: outcome.Unknown, Code: requests.CodeBroken})
+			return
+		}
+	}
+}
+
+// try makes one try and reports how it ended.
+func (c *serverCall) try(d requests.Dispatch) requests.Event {
+	started := c.server.now()
+	ctx, cancel := context.WithDeadline(c.request.Context(), d.Deadline)
+	defer cancel()
+	pauseFor(ctx, d.Pause)
+	x := &exchange{server: c.server, dispatch: d, request: c.request, body: c.body}
+	var result outcome.Attempt
+	if d.Route.Kind == config.RouteStream {
+		c.answer, result = x.stream(ctx, &c.relay)
+	} else {
+		c.answer, result = x.plain(ctx)
+	}
+	gone := c.request.Context().Err() != nil || c.relay.failed
+	_, answered := result.(outcome.Answered)
+	late := !gone && !answered && !c.server.now().Before(d.Deadline)
+	if late {
+		result = outcome.Broken{Reason: "no whole answer before the deadline", Begun: c.relay.begun}
+	}
+	c.observed.Tries = append(c.observed.Tries, Try{Dispatch: d, Result: result, Took: c.server.now().Sub(started)})
+	if late {
+		return requests.Expired{Request: d.Request}
+	}
+	return requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, Wanted: !gone}
+}
+
+// pauseFor waits for a while, or until ctx ends.
+func pauseFor(ctx context.Context, d time.Duration) {
+	if d <= 0 {
+		return
+	}
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+	}
+}
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	// maxAnswer bounds an answer that is held whole.
+	// maxAnswer bounds an answer that is held whole, in bytes. Chosen, not measured.
 	maxAnswer = 16 << 20
-	// maxSurplus bounds the answers to other requests that are read over.
-	maxSurplus = 3
+	// maxForeignAnswers bounds the answers to other requests that are read over.
+	maxForeignAnswers = 3
 )
 
 // answer is a worker's whole answer to a plain request.
@@ -70,20 +70,21 @@
 	return nil
 }
 
-// errHeadLate ends a try whose answer has not begun, as the request goes elsewhere.
-var errHeadLate = errors.New("no answer has begun in the time that is usual")
+// errHeaderLate ends an attempt whose answer has not begun, as the request goes to another
+// worker.
+var errHeaderLate = errors.New("no response header within the timeout")
 
-// awaitHead waits until the answer begins or the request goes elsewhere.
-func (x *exchange) awaitHead() error {
+// awaitHeader waits until the answer begins or the request goes elsewhere.
+func (x *exchange) awaitHeader() error {
 	if x.dispatch.HeaderTimeout == 0 {
 		return nil
 	}
-	x.waitFor(x.dispatch.HeaderTimeout)
+	x.boundReads(x.dispatch.HeaderTimeout)
 	_, err := x.conn.reader.Peek(1)
 	if isTimeout(err) && x.server.givesUp(x.dispatch, x.server.now().Sub(x.sent)) {
-		return errHeadLate
+		return errHeaderLate
 	}
-	x.waitFor(0)
+	x.boundReads(0)
 	return nil
 }
 
@@ -94,10 +95,10 @@
 }
 
 // isSilence tells whether nothing came from a worker in the time allowed.
-func isSilence(err error) bool { return errors.Is(err, errHeadLate) || isTimeout(err) }
+func isSilence(err error) bool { return errors.Is(err, errHeaderLate) || isTimeout(err) }
 
-// waitFor bounds the next reads by d, and in any case by the deadline.
-func (x *exchange) waitFor(d time.Duration) {
+// boundReads bounds the next reads by d, and in any case by the deadline.
+func (x *exchange) boundReads(d time.Duration) {
 	by := x.dispatch.Deadline
 	if limit := x.server.now().Add(d); d > 0 && limit.Before(by) {
 		by = limit
@@ -120,10 +121,10 @@
 // receive reads the head of the answer to this request, passing over answers
 // to others that arrive late.
 func (x *exchange) receive() (*http.Response, error) {
-	if err := x.awaitHead(); err != nil {
+	if err := x.awaitHeader(); err != nil {
 		return nil, err
 	}
-	for range maxSurplus {
+	for range maxForeignAnswers {
 		resp, err := http.ReadResponse(x.conn.reader, &http.Request{Method: x.request.Method})
 		if err != nil {
 			return nil, errors.Wrap(err, "read the answer")
@@ -204,7 +205,7 @@
 		_ = x.conn.Close()
 		return nil, outcome.Broken{Reason: err.Error(), Silent: isSilence(err)}
 	}
-	x.server.told(x.dispatch, resp.Header, x.server.now().Sub(x.sent))
+	x.server.reportHeader(x.dispatch, resp.Header, x.server.now().Sub(x.sent))
 	if notRun(resp, x.server.headers) {
 		return nil, x.declined(resp)
 	}
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -143,7 +143,7 @@
 	return first, second
 }
 
-// load reads a worker's word on its load.
+// load reads a worker's report of its load.
 func (h Headers) load(in http.Header) requests.Load {
 	running, rest, _ := strings.Cut(in.Get(h.Load), ",")
 	var l requests.Load
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -19,19 +19,22 @@
 )
 
 const (
-	// connectTimeout bounds a new connection to a worker.
+	// connectTimeout bounds a new connection to a worker. Chosen, not measured.
 	connectTimeout = 400 * time.Millisecond
-	// UserTimeout ends a connection whose bytes are not acknowledged.
+	// UserTimeout ends a connection whose bytes are not acknowledged (RFC 5482). Chosen,
+	// not measured.
 	UserTimeout = 2 * time.Second
-	// assumedIdle is how long a worker keeps an idle connection where it does
-	// not say.
+	// assumedIdle is how long a worker keeps an idle connection where it does not say.
+	// Chosen, not measured.
 	assumedIdle = 2 * time.Second
-	// idleMargin is kept from a worker's word, so that its close does not cross
-	// a request.
+	// idleMargin is kept from the time that a worker gives, so that its close does not
+	// cross a request. Chosen, not measured.
 	idleMargin = 800 * time.Millisecond
-	// maxIdle bounds the idle connections kept to one worker.
-	maxIdle    = 32
+	// maxIdle bounds the idle connections kept to one worker. Chosen, not measured.
+	maxIdle = 32
+	// readBuffer is the size of a connection's buffer, in bytes.
 	readBuffer = 4 << 10
+	// sweepEvery is the time between two looks over all idle connections.
 	sweepEvery = time.Second
 )
 
@@ -63,7 +66,7 @@
 	return &Pool{from: from, idle: map[ident.Target][]*workerConn{}}
 }
 
-// get returns a connection to the worker: one that is idle and sound, or a new
+// get returns a connection to the worker: an idle one that is open and silent, or a new
 // one.
 func (p *Pool) get(ctx context.Context, w registry.Worker, now time.Time) (*workerConn, error) {
 	for {
@@ -71,7 +74,7 @@
 		if c == nil {
 			return p.dial(ctx, w)
 		}
-		if c.sound() {
+		if c.openAndSilent() {
 			p.Reused.Add(1)
 			c.fresh = false
 			return c, nil
@@ -162,9 +165,9 @@
 	return &workerConn{Conn: conn, reader: bufio.NewReaderSize(conn, readBuffer), worker: w.ID, fresh: true}, nil
 }
 
-// sound tells whether an idle connection is open and silent: bytes that came
+// openAndSilent tells whether an idle connection is open and silent: bytes that came
 // unasked belong to no request.
-func (c *workerConn) sound() bool {
+func (c *workerConn) openAndSilent() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
--- a/gateway/reconnect_test.go
+++ b/gateway/probe_test.go
@@ -22,11 +22,11 @@
 	reached chan requests.ProbeEnded
 }
 
-func (c *probingCore) Route(ev requests.Event) []requests.Decision {
+func (c *probingCore) Decide(ev requests.Event) []requests.Decision {
 	if r, ok := ev.(requests.ProbeEnded); ok {
 		c.reached <- r
 	}
-	decisions := c.fakeCore.Route(ev)
+	decisions := c.fakeCore.Decide(ev)
 	if _, ok := ev.(requests.Arrived); ok {
 		decisions = append([]requests.Decision{requests.ProbeConnection{Worker: c.worker}}, decisions...)
 	}
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -17,7 +17,6 @@
 	"context"
 	"io"
 	"net/http"
-	"strconv"
 	"sync/atomic"
 	"time"
 
@@ -30,9 +29,9 @@
 
 // Core is what the server needs of the process's event loop.
 type Core interface {
-	// Route feeds one event and returns what was decided.
-	Route(ev requests.Event) []requests.Decision
-	// Await returns the next decision for a request that was told to wait. Where ctx
+	// Decide feeds one event and returns what was decided.
+	Decide(ev requests.Event) []requests.Decision
+	// Await returns the next decision for a request that waits. Where ctx
 	// ends first, the request is withdrawn; nil means that the process stops.
 	Await(ctx context.Context, id ident.Request) requests.Decision
 	// Limits are the bounds for callers in force.
@@ -147,15 +146,16 @@
 	return body, 0
 }
 
-// told hands to the core that an answer has begun, and the worker's word on its load.
-func (s *Server) told(d requests.Dispatch, h http.Header, took time.Duration) {
-	s.core.Route(requests.HeaderReceived{Worker: d.Worker.ID, Load: s.headers.load(h), Route: d.Route.Name, Took: took})
+// reportHeader hands to the core that an answer has begun, and the worker's report of its
+// load.
+func (s *Server) reportHeader(d requests.Dispatch, h http.Header, took time.Duration) {
+	s.core.Decide(requests.HeaderReceived{Worker: d.Worker.ID, Load: s.headers.load(h), Route: d.Route.Name, Took: took})
 }
 
 // givesUp tells whether a try without an answer so far is to end, as the request goes
 // elsewhere.
 func (s *Server) givesUp(d requests.Dispatch, waited time.Duration) bool {
-	for _, decision := range s.core.Route(requests.HeaderLate{Request: d.Request, Attempt: d.Attempt, Waited: waited}) {
+	for _, decision := range s.core.Decide(requests.HeaderLate{Request: d.Request, Attempt: d.Attempt, Waited: waited}) {
 		if g, ok := decision.(requests.GiveUp); ok && g.Request == d.Request {
 			return true
 		}
@@ -163,14 +163,14 @@
 	return false
 }
 
-// decide feeds an event and returns what becomes of its request, or nil. Whatever
+// nextDecision feeds an event and returns what becomes of its request, or nil. Whatever
 // else was decided is begun.
-func (s *Server) decide(ev requests.Event) requests.Decision {
+func (s *Server) nextDecision(ev requests.Event) requests.Decision {
 	var next requests.Decision
-	for _, d := range s.core.Route(ev) {
+	for _, d := range s.core.Decide(ev) {
 		switch d := d.(type) {
 		case requests.ProbeConnection:
-			go s.reconnect(d.Worker)
+			go s.probe(d.Worker)
 		case requests.Dispatch, requests.Wait, requests.Finish:
 			next = d
 		}
@@ -178,154 +178,12 @@
 	return next
 }
 
-// reconnect opens a connection to a worker that may have been cut off, and keeps it
+// probe opens a connection to a worker that may have been cut off, and keeps it
 // for the next request.
-func (s *Server) reconnect(w registry.Worker) {
+func (s *Server) probe(w registry.Worker) {
 	conn, err := s.pool.dial(context.Background(), w)
 	if err == nil {
 		s.pool.put(conn, 0, s.now())
 	}
-	s.core.Route(requests.ProbeEnded{Worker: w.ID, OK: err == nil})
-}
-
-// serverCall is one request in progress.
-type serverCall struct {
-	server   *Server
-	writer   http.ResponseWriter
-	request  *http.Request
-	body     []byte
-	begun    time.Time
-	relay    relay
-	answer   *answer
-	observed Observation
-}
-
-// run follows the core's decisions to the end of the request.
-func (c *serverCall) run(req requests.Request) {
-	next := c.server.decide(requests.Arrived{Request: req})
-	for {
-		switch d := next.(type) {
-		case requests.Wait:
-			next = c.server.core.Await(c.request.Context(), d.Request)
-			c.observed.Waited = c.server.now().Sub(c.begun)
-		case requests.Dispatch:
-			next = c.server.decide(c.try(d))
-		case requests.Finish:
-			c.observed.Inputs = d.Inputs
-			c.finish(d.Verdict)
-			return
-		default:
-			c.finish(requests.Verdict{Outcome: outcome.Unknown, Code: requests.CodeBroken})
-			return
-		}
-	}
-}
-
-// try makes one try and reports how it ended.
-func (c *serverCall) try(d requests.Dispatch) requests.Event {
-	started := c.server.now()
-	ctx, cancel := context.WithDeadline(c.request.Context(), d.Deadline)
-	defer cancel()
-	rest(ctx, d.Pause)
-	x := &exchange{server: c.server, dispatch: d, request: c.request, body: c.body}
-	var result outcome.Attempt
-	if d.Route.Kind == config.RouteStream {
-		c.answer, result = x.stream(ctx, &c.relay)
-	} else {
-		c.answer, result = x.plain(ctx)
-	}
-	gone := c.request.Context().Err() != nil || c.relay.failed
-	_, answered := result.(outcome.Answered)
-	late := !gone && !answered && !c.server.now().Before(d.Deadline)
-	if late {
-		result = outcome.Broken{Reason: "no whole answer before the deadline", Begun: c.relay.begun}
-	}
-	c.observed.Tries = append(c.observed.Tries, Try{Dispatch: d, Result: result, Took: c.server.now().Sub(started)})
-	if late {
-		return requests.Expired{Request: d.Request}
-	}
-	return requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, Wanted: !gone}
-}
-
-// rest waits for a while, or until ctx ends.
-func rest(ctx context.Context, d time.Duration) {
-	if d <= 0 {
-		return
-	}
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-}
-
-// finish tells the caller how the request ended.
-func (c *serverCall) finish(v requests.Verdict) {
-	c.observed.Verdict = v
-	c.observed.Took = c.server.now().Sub(c.begun)
-	if !c.relay.first.IsZero() {
-		c.observed.First = c.relay.first.Sub(c.begun)
-	}
-	c.observed.Pause = c.relay.pause
-	c.server.observe(c.observed)
-	switch {
-	case v.Code == requests.CodeOK && c.answer != nil:
-		c.deliver(c.answer)
-	case v.Code == requests.CodeOK:
-		// The stream has been passed on whole.
-	case c.relay.begun || v.Code == requests.CodeCallerGone:
-		// What was sent must not look complete.
-		panic(http.ErrAbortHandler)
-	default:
-		c.refuse(v)
-	}
-}
-
-func (c *serverCall) deliver(a *answer) {
-	copyHeader(c.writer.Header(), c.server.headers.toCaller(a.header))
-	c.writer.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
-	c.writer.WriteHeader(a.status)
-	_, _ = c.writer.Write(a.body)
-}
-
-// copyHeader copies a worker's headers; what it did not send is not added.
-func copyHeader(to, from http.Header) {
-	for name, values := range from {
-		to[name] = values
-	}
-	for _, name := range []string{"Content-Type", "Date"} {
-		if _, ok := to[name]; !ok {
-			to[name] = nil
-		}
-	}
-}
-
-func (c *serverCall) refuse(v requests.Verdict) {
-	h := c.writer.Header()
-	if v.Elsewhere {
-		h.Set("Connection", "close")
-	}
-	if v.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(v.RetryAfter.Seconds(), 'f', -1, 64))
-	}
-	h.Set("Content-Type", "text/plain; charset=utf-8")
-	c.writer.WriteHeader(statusOf(v))
-	_, _ = io.WriteString(c.writer, string(v.Code)+": "+v.Reason+"\n")
-}
-
-// statusOf maps a verdict to HTTP. 503 promises that the request has not run
-// and never will; 502 and 504 promise nothing.
-func statusOf(v requests.Verdict) int {
-	switch {
-	case v.Code == requests.CodeNoRoute:
-		return http.StatusNotFound
-	case v.Code == requests.CodeBadKey:
-		return http.StatusUnauthorized
-	case v.Outcome == outcome.NotRun:
-		return http.StatusServiceUnavailable
-	case v.Code == requests.CodeDeadline:
-		return http.StatusGatewayTimeout
-	}
-	return http.StatusBadGateway
+	s.core.Decide(requests.ProbeEnded{Worker: w.ID, OK: err == nil})
 }
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -43,7 +43,7 @@
 	state requests.State
 }
 
-func (c *fakeCore) Route(ev requests.Event) []requests.Decision {
+func (c *fakeCore) Decide(ev requests.Event) []requests.Decision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	next, decisions := requests.Reduce(c.state, ev, time.Now())
@@ -99,8 +99,8 @@
 		b.workers = append(b.workers, w)
 		registered = append(registered, registry.Worker{ID: ident.Target(w.ID), Pool: "pool", Address: w.Address(), Slots: 4, Seq: 1})
 	}
-	b.core.Route(requests.Registered{Workers: registered})
-	b.core.Route(requests.Confirmed{Confirmation: confirmation.At(time.Now())})
+	b.core.Decide(requests.Registered{Workers: registered})
+	b.core.Decide(requests.Confirmed{Confirmation: confirmation.At(time.Now())})
 	server := httptest.NewServer(gateway.NewServer(gateway.Deps{Core: b.core, Pool: b.pool, Headers: names}))
 	t.Cleanup(server.Close)
 	t.Cleanup(b.pool.Close)
@@ -346,7 +346,7 @@
 		close(closed)
 	}()
 	b := newBench(t, 0)
-	b.core.Route(requests.Registered{Workers: []registry.Worker{{ID: "slow", Pool: "pool", Address: l.Addr().String(), Slots: 1, Seq: 1}}})
+	b.core.Decide(requests.Registered{Workers: []registry.Worker{{ID: "slow", Pool: "pool", Address: l.Addr().String(), Slots: 1, Seq: 1}}})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		<-got
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -53,7 +53,7 @@
 		_ = x.conn.Close()
 		return nil, outcome.Broken{Reason: err.Error(), Begun: r.begun, Silent: isSilence(err)}
 	}
-	x.server.told(x.dispatch, resp.Header, x.server.now().Sub(x.sent))
+	x.server.reportHeader(x.dispatch, resp.Header, x.server.now().Sub(x.sent))
 	if notRun(resp, x.server.headers) {
 		return nil, x.declined(resp)
 	}
@@ -61,7 +61,7 @@
 	if resp.StatusCode != http.StatusOK || !signed {
 		return x.failure(resp, signed, r)
 	}
-	err = r.copyEvents(resp, func() { x.waitFor(x.dispatch.StallTimeout) })
+	err = r.copyEvents(resp, func() { x.boundReads(x.dispatch.StallTimeout) })
 	x.end(resp, err == nil)
 	if err != nil {
 		return nil, outcome.Broken{Reason: err.Error(), Begun: r.begun}
