--- a/core/health/health.go
+++ b/core/health/health.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
 
-// Package health joins what a host knows of a target into one verdict: its own
-// results, the target's reports, signs of leaving and the platform's lagging
-// list.
+// Package health joins what a host knows of a target into one belief: its own results, the
+// target's reports, signs of leaving and the platform's lagging list. It owns no state but
+// the values that its callers keep, and relies on nothing.
 //
 // # Usage
 //
@@ -26,24 +26,36 @@
 	Absent
 )
 
+// A target gets no new work while it is ejected or leaving. It is ejected after maxFailures
+// failures in a row, for ejectBase, doubled with each further failure up to ejectMax; one
+// that cannot be connected to is ejected at once, for a shorter time; a good answer ends
+// both. It is leaving while it says so itself, while another host reports that it said so,
+// or while the platform's list says so. An absence from the list counts only where there is
+// no recent good answer, as the list lags.
+//
+// Inputs: results of attempts, load reports, the list, and the present time. Measured on
+// nine simulated days without dead targets: ejection changes nothing there; it stays for
+// those that die.
 const (
-	// maxFailures in a row eject a target.
+	// maxFailures, ejectBase and ejectMax are chosen, not measured.
 	maxFailures = 3
-	// ejectBase doubles with each further failure up to ejectMax.
-	ejectBase = time.Second
-	ejectMax  = 30 * time.Second
+	ejectBase   = time.Second
+	ejectMax    = 30 * time.Second
 	// unreachableBase and unreachableMax are the same for a target that cannot be
-	// connected to.
+	// connected to. Chosen, not measured.
 	unreachableBase = 500 * time.Millisecond
 	unreachableMax  = 4 * time.Second
-	// goodAnswerLifetime is how long a good answer outweighs an absence from the list.
+	// goodAnswerLifetime is how long a good answer outweighs an absence from the list:
+	// five readings of it.
 	goodAnswerLifetime = 10 * time.Second
-	// lostAfter is how long a target fails before it counts as gone for good.
+	// lostAfter is how long a target fails before it counts as gone for good. Chosen,
+	// not measured.
 	lostAfter = time.Minute
-	// leavingLifetime is how long a sign of leaving counts without being renewed.
+	// leavingLifetime is how long a target's report that it is leaving counts without
+	// being renewed. Chosen, not measured.
 	leavingLifetime = 30 * time.Second
-	// reportedLeavingLifetime is the same for one heard from another host, which repeats it
-	// with each heartbeat.
+	// reportedLeavingLifetime is the same for another host's report, which that host
+	// repeats with each heartbeat of one second.
 	reportedLeavingLifetime = 5 * time.Second
 )
 
@@ -54,10 +66,10 @@
 	LastGood     time.Time
 	// FailingSince is the first of the present row of failures.
 	FailingSince time.Time
-	// LeavingUntil is how long the target's own word that it is leaving counts;
-	// a later report that says otherwise ends it.
+	// LeavingUntil is how long the target's own report that it is leaving counts; a later
+	// report that says otherwise ends it. The JSON names are those of state dumps.
 	LeavingUntil time.Time `json:"SignUntil"`
-	// LeavingReportedUntil is the same by word of another host. It is not passed on.
+	// LeavingReportedUntil is the same by another host's report. It is not passed on.
 	LeavingReportedUntil time.Time `json:"HeardUntil"`
 	Listing              Listing
 	// ReportSeq is the number of the newest load report.
@@ -92,7 +104,7 @@
 	return t.Listing == Leaving || t.SaysLeaving(now) || now.Before(t.LeavingReportedUntil)
 }
 
-// SaysLeaving tells whether the target itself told this host that it is leaving.
+// SaysLeaving tells whether the target itself reported to this host that it is leaving.
 func (t Target) SaysLeaving(now time.Time) bool { return now.Before(t.LeavingUntil) }
 
 // Ejected tells whether failures alone keep new work away.
@@ -130,7 +142,7 @@
 // maxShift keeps the doubling within range.
 const maxShift = 10
 
-// WithLeaving records the target's own word on whether it is leaving.
+// WithLeaving records the target's own report on whether it is leaving.
 func (t Target) WithLeaving(leaving bool, now time.Time) Target {
 	if leaving {
 		t.LeavingUntil = now.Add(leavingLifetime)
@@ -140,7 +152,7 @@
 	return t
 }
 
-// WithReportedLeaving records another host's word that the target is leaving.
+// WithReportedLeaving records another host's report that the target is leaving.
 func (t Target) WithReportedLeaving(now time.Time) Target {
 	t.LeavingReportedUntil = now.Add(reportedLeavingLifetime)
 	return t
--- a/core/host/admit.go
+++ b/core/host/admit.go
@@ -29,7 +29,7 @@
 func (t *transition) admit(c *call) (Verdict, bool) {
 	if !t.ready {
 		return Verdict{
-			Outcome: outcome.NotRun, Code: CodeNotReady, RetryAfter: retryLater,
+			Outcome: outcome.NotRun, Code: CodeNotReady, RetryAfter: retryAfter,
 			Reason: "this host has no configuration yet",
 		}, false
 	}
@@ -108,7 +108,7 @@
 	use, _ := t.accounts.Get(a.ID)
 	if a.MaxInFlight > 0 && use.inFlight >= a.MaxInFlight {
 		return Verdict{
-			Outcome: outcome.NotRun, Code: CodeLimit, RetryAfter: retryLater,
+			Outcome: outcome.NotRun, Code: CodeLimit, RetryAfter: retryAfter,
 			Reason: "the account has too many requests in flight",
 		}, false
 	}
@@ -141,7 +141,7 @@
 	return u
 }
 
-func (t *transition) useAccount(id ident.Account, n int) {
+func (t *transition) addAccountInFlight(id ident.Account, n int) {
 	use, _ := t.accounts.Get(id)
 	use.inFlight += n
 	t.accounts = t.accounts.With(id, use)
--- a/core/host/call.go
+++ b/core/host/call.go
@@ -12,26 +12,41 @@
 	"github.com/yardhall/yardhall/core/routing"
 )
 
+// A request to a listed fleet's services goes: admitted (admit.go), claimed where it must not
+// run twice (claim.go), given a place (place.go), run, and perhaps tried again.
+//
+// It is tried again at another target, up to maxTries, where the target could not be reached
+// or declined, or where its answer broke off before the caller saw any of it and the request
+// may run twice; each retry takes a token of the host's budget, to which each request adds
+// budgetPerRequest, and none is made past the deadline.
+//
+// Inputs: how the attempt ended, attempts so far, the budget, the deadline, Once.
 const (
-	// askTimeout is how long an owner may take to answer before the router
-	// picks by its own view.
-	askTimeout = 250 * time.Millisecond
-	// queuedPoll is the pause between two looks at a place in a queue.
+	// permitTimeout is how long an owner may take to answer before the router picks by
+	// its own view. Chosen, not measured.
+	permitTimeout = 250 * time.Millisecond
+	// queuedPoll is the time between two requests for a permit that waits in a queue, as
+	// the reply may have been lost. Chosen, not measured.
 	queuedPoll = 2 * time.Second
-	// claimTimeout bounds the wait for the right to run.
+	// claimTimeout bounds the wait for the right to run: an election and a write.
 	claimTimeout = 3 * time.Second
-	// maxTries bounds the attempts of one request.
+	// maxTries bounds the attempts of one request. Chosen, not measured.
 	maxTries = 3
-	// maxHops bounds how often an ask is sent to another group.
+	// maxHops bounds how often a request is sent on to another group. Chosen, not
+	// measured.
 	maxHops = 2
-	// budgetPerRequest is what each request adds to the retry budget; a retry
-	// takes 1, so retries stay under this share of requests.
+	// budgetPerRequest is what each request adds to the retry budget; a retry takes 1, so
+	// that retries stay under this part of requests. maxBudget bounds it. Chosen, not
+	// measured.
 	budgetPerRequest = 0.1
 	maxBudget        = 10
-	// retryJitter bounds the random pause before a retry after a failure.
+	// retryJitter bounds the random pause before a retry after a failure, so that those
+	// that failed together do not return together. Chosen, not measured.
 	retryJitter = 100 * time.Millisecond
-	retryLater  = time.Second
-	// defaultTimeout is a request's time where neither caller nor service say.
+	// retryAfter is the advice to callers. Chosen, not measured.
+	retryAfter = time.Second
+	// defaultTimeout is a request's time where neither caller nor service say. Chosen,
+	// not measured.
 	defaultTimeout = 2 * time.Minute
 	percent        = 100
 )
@@ -63,25 +78,25 @@
 	target  ident.Target
 	attempt int
 	hops    int
-	// asks counts the asks for a place; place names the newest.
-	asks  int
-	place ident.Place
-	// final is set where the ask must not be sent to yet another group.
+	// permitRequests counts the requests for a place; place names the newest.
+	permitRequests int
+	permit         ident.PermitID
+	// final is set where the request must not be sent to yet another group.
 	final bool
 	tried []ident.Target
 	// avoid are groups in which a target could not be reached.
 	avoid []routing.GroupID
-	// worst joins the outcomes of the attempts so far.
-	worst outcome.Kind
+	// combined joins the outcomes of the attempts so far.
+	combined outcome.Kind
 	// claimed is true while this call may hold the claim of its key; decided
 	// once the claim's answer proves what earlier requests under it did.
 	claimed, decided bool
-	// denied is what the caller is told where the earlier request's answer
+	// denied is the answer to the caller where the earlier request's answer
 	// cannot be had.
 	denied Verdict
 }
 
-func (t *transition) put(c call) { t.calls = t.calls.With(c.req.ID, c) }
+func (t *transition) keepCall(c call) { t.calls = t.calls.With(c.req.ID, c) }
 
 // arrive checks a request and starts it on its way.
 func (t *transition) arrive(r Request) {
@@ -90,21 +105,21 @@
 	if r.Deadline.IsZero() {
 		r.Deadline = t.now.Add(defaultTimeout)
 	}
-	c := call{req: r, worst: outcome.NotRun}
+	c := call{req: r, combined: outcome.NotRun}
 	if v, ok := t.admit(&c); !ok {
 		t.refuse(c, v)
 		return
 	}
-	t.useAccount(c.account.ID, 1)
-	t.put(c)
+	t.addAccountInFlight(c.account.ID, 1)
+	t.keepCall(c)
 	if c.req.Once && c.req.IdempotencyKey != "" {
 		t.claim(c)
 		return
 	}
-	t.ask(c)
+	t.requestPermit(c)
 }
 
-// refuse tells the caller how the request ended. Only a decided claim proves
+// refuse answers the caller of a request that got no place. Only a decided claim proves
 // that nothing ran under a key before.
 func (t *transition) refuse(c call, v Verdict) {
 	if c.req.IdempotencyKey != "" && !c.decided && v.Outcome == outcome.NotRun {
@@ -129,25 +144,25 @@
 // finish ends an admitted call: its place is freed, its claim settled.
 func (t *transition) finish(c call, v Verdict) {
 	t.calls = t.calls.Without(c.req.ID)
-	t.useAccount(c.account.ID, -1)
-	t.leave(c)
+	t.addAccountInFlight(c.account.ID, -1)
+	t.release(c)
 	if c.claimed {
-		t.endClaim(c, c.worst)
+		t.endClaim(c, c.combined)
 	}
 	t.refuse(c, v)
 }
 
-// leave gives back what the call holds on a target or in a queue.
-func (t *transition) leave(c call) {
+// release gives back what the call holds on a target or in a queue.
+func (t *transition) release(c call) {
 	if c.target != "" {
-		t.useTarget(c.target, -1)
+		t.addInFlight(c.target, -1)
 	}
 	if c.owner != "" {
-		t.send(c.owner, FreePlace{Place: c.place})
+		t.send(c.owner, ReleasePermit{Place: c.permit})
 	}
 }
 
-func (t *transition) useTarget(id ident.Target, n int) {
+func (t *transition) addInFlight(id ident.Target, n int) {
 	have, _ := t.inFlight.Get(id)
 	if have+n <= 0 {
 		t.inFlight = t.inFlight.Without(id)
@@ -159,15 +174,15 @@
 func (t *transition) dispatch(c call, id ident.Target) {
 	target, ok := t.config.Targets.Get(id)
 	if !ok || !t.now.Before(c.req.Deadline) {
-		t.finish(c, Verdict{Outcome: c.worst, Code: CodeDeadline, Reason: "the deadline passed before a target was found"})
+		t.finish(c, Verdict{Outcome: c.combined, Code: CodeDeadline, Reason: "the deadline passed before a target was found"})
 		return
 	}
 	c.phase, c.target = phaseRunning, id
 	c.attempt++
 	c.wake = time.Time{}
 	c.tried = append(c.tried[:len(c.tried):len(c.tried)], id)
-	t.useTarget(id, 1)
-	t.put(c)
+	t.addInFlight(id, 1)
+	t.keepCall(c)
 	t.emit(Dispatch{
 		Request: c.req.ID, Attempt: c.attempt, Target: target,
 		Once: c.req.Once, Rank: c.class.Rank, Deadline: c.req.Deadline,
@@ -184,8 +199,8 @@
 		return
 	}
 	if c.phase == phaseRunning {
-		t.learn(c.target, ev.Result)
-		c.worst = outcome.Combine(c.worst, outcome.Of(ev.Result))
+		t.learnHealth(c.target, ev.Result)
+		c.combined = outcome.Combine(c.combined, outcome.Of(ev.Result))
 	}
 	switch r := ev.Result.(type) {
 	case outcome.Answered:
@@ -198,13 +213,13 @@
 	case outcome.Broken:
 		v := Verdict{Code: CodeBroken, Reason: "the target's answer broke off: " + r.Reason}
 		if c.req.Once || r.Begun {
-			v.Outcome = c.worst
+			v.Outcome = c.combined
 			t.finish(c, v)
 			return
 		}
 		t.retry(c, v, t.jitter())
 	case outcome.Abandoned:
-		t.finish(c, Verdict{Outcome: c.worst, Code: CodeCallerGone, Reason: "the caller left"})
+		t.finish(c, Verdict{Outcome: c.combined, Code: CodeCallerGone, Reason: "the caller left"})
 	}
 }
 
@@ -216,26 +231,26 @@
 
 // retry tries another target if tries, budget and deadline allow.
 func (t *transition) retry(c call, v Verdict, pause time.Duration) {
-	v.Outcome = c.worst
-	v.RetryAfter = retryLater
+	v.Outcome = c.combined
+	v.RetryAfter = retryAfter
 	if c.attempt >= maxTries || t.budget < 1 || !t.now.Add(pause).Before(c.req.Deadline) {
 		t.finish(c, v)
 		return
 	}
 	t.budget--
 	t.counters.Retries++
-	t.leave(c)
+	t.release(c)
 	c.owner, c.target, c.hops = "", "", 0
 	if pause == 0 {
-		t.ask(c)
+		t.requestPermit(c)
 		return
 	}
 	c.phase, c.wake = phaseWaiting, t.now.Add(pause)
-	t.put(c)
+	t.keepCall(c)
 }
 
-// learn takes the result of a try as a sign of the target's health.
-func (t *transition) learn(id ident.Target, a outcome.Attempt) {
+// learnHealth takes the result of a try as a sign of the target's health.
+func (t *transition) learnHealth(id ident.Target, a outcome.Attempt) {
 	h, _ := t.health.Get(id)
 	was := h.Usable(t.now)
 	switch a := a.(type) {
@@ -273,20 +288,20 @@
 		t.finish(c, c.denied)
 	case expired:
 		t.finish(c, Verdict{
-			Outcome: c.worst, Code: CodeDeadline, RetryAfter: retryLater, Reason: "no place was free before the deadline",
+			Outcome: c.combined, Code: CodeDeadline, RetryAfter: retryAfter, Reason: "no place was free before the deadline",
 		})
 	case c.phase == phaseAsking:
-		// The owner is told in case the ask still arrives.
+		// In case the request still arrives at the owner.
 		t.note(NoteFallback, c.group.String(), string(c.owner))
-		t.send(c.owner, FreePlace{Place: c.place})
+		t.send(c.owner, ReleasePermit{Place: c.permit})
 		t.pickLocally(c)
 		t.suspect(c.owner)
 	case c.phase == phaseQueued:
-		// The word that a place is free may have been lost.
+		// The reply that a place is free may have been lost.
 		c.wake = earlier(c.req.Deadline, t.now.Add(queuedPoll))
-		t.put(c)
-		t.sendAsk(c)
+		t.keepCall(c)
+		t.sendPermitRequest(c)
 	case c.phase == phaseWaiting:
-		t.ask(c)
+		t.requestPermit(c)
 	}
 }
--- a/core/host/capacity_test.go
+++ b/core/host/capacity_test.go
@@ -97,9 +97,9 @@
 	return out
 }
 
-func askOf(i int, now time.Time) routing.Ask {
-	return routing.Ask{
-		Place: ident.PlaceOf(ident.Request(fmt.Sprintf("h01-abc-%d", i)), 1), Router: "h01", Account: "account-1", Rank: 1, Model: model,
+func askOf(i int, now time.Time) routing.PermitRequest {
+	return routing.PermitRequest{
+		Permit: ident.PermitIDOf(ident.Request(fmt.Sprintf("h01-abc-%d", i)), 1), Router: "h01", Account: "account-1", Rank: 1, Model: model,
 		Key: hash.Of(fmt.Sprint("chat", i)), Deadline: now.Add(time.Minute), MaxWait: time.Minute,
 	}
 }
@@ -116,7 +116,7 @@
 			return heapOf(func() any {
 				d := routing.Directory{Bound: 4 * n}
 				for i := range n {
-					d = d.With(hash.Of(fmt.Sprint(i)), routing.Place{Target: "e001"})
+					d = d.With(hash.Of(fmt.Sprint(i)), routing.ChatLocation{Target: "e001"})
 				}
 				return d
 			})
@@ -145,8 +145,8 @@
 			return nanos(func(b *testing.B) {
 				for i := 0; b.Loop(); i++ {
 					ask := askOf(i%1000, now)
-					g, _ = g.Ask(ask, bound, now)
-					g, _ = g.Release(ask.Place, bound, now)
+					g, _ = g.Request(ask, bound, now)
+					g, _ = g.Release(ask.Permit, bound, now)
 				}
 			})
 		}),
--- a/core/host/claim.go
+++ b/core/host/claim.go
@@ -14,7 +14,7 @@
 func (t *transition) claim(c call) {
 	c.phase = phaseClaiming
 	c.wake = earlier(c.req.Deadline, t.now.Add(claimTimeout))
-	t.put(c)
+	t.keepCall(c)
 	t.counters.Claims++
 	t.submit(catalog.Write{
 		ID: "claim/" + string(c.req.ID), Actor: string(t.settings.ID),
@@ -36,7 +36,7 @@
 		// Nothing was sent, and the claim, if it was taken, is given back.
 		c.claimed = true
 		t.finish(c, Verdict{
-			Outcome: outcome.NotRun, Code: CodeNoQuorum, RetryAfter: retryLater,
+			Outcome: outcome.NotRun, Code: CodeNoQuorum, RetryAfter: retryAfter,
 			Reason: "the right to run it once could not be had in time; this attempt did not run",
 		})
 		return
@@ -44,7 +44,7 @@
 	c.decided = true
 	if r.Code == catalog.OK {
 		c.claimed = true
-		t.ask(c)
+		t.requestPermit(c)
 		return
 	}
 	t.counters.ClaimsDenied++
@@ -62,7 +62,7 @@
 // fetchAnswer asks the host that ran the earlier request for its answer.
 func (t *transition) fetchAnswer(c call, earlier catalog.Claim) {
 	c.phase, c.wake = phaseFetching, t.now.Add(fetchTimeout)
-	t.put(c)
+	t.keepCall(c)
 	t.send(earlier.Host, FetchAnswer{Request: earlier.Request, For: c.req.ID})
 }
 
--- a/core/host/host.go
+++ b/core/host/host.go
@@ -301,16 +301,16 @@
 		t.receiveRaft(from, m)
 	case PeerHeartbeat:
 		t.peerHeartbeat(from, m.Beat)
-	case AskPlace:
-		t.askPlace(from, m)
-	case PlaceAnswer:
-		t.placeAnswer(from, m)
+	case RequestPermit:
+		t.permitRequested(from, m)
+	case PermitReply:
+		t.permitReplied(from, m)
 	case NotOwner:
 		t.notOwner(m)
-	case FreePlace:
-		t.freePlace(m)
-	case AdoptPlaces:
-		t.adoptPlaces(m)
+	case ReleasePermit:
+		t.permitReleased(m)
+	case AdoptPermits:
+		t.permitsAdopted(m)
 	case AdoptChats:
 		t.adoptChats(m)
 	case FetchAnswer:
--- a/core/host/layout.go
+++ b/core/host/layout.go
@@ -119,6 +119,6 @@
 		t.groups = t.groups.Without(p.id.String())
 		t.note(NoteOwner, p.id.String(), "given to "+string(owner))
 	}
-	t.reportPlaces(p.id, owner)
-	t.reask(p.id)
+	t.reportPermits(p.id, owner)
+	t.requestPermitsAnew(p.id)
 }
--- a/core/host/message.go
+++ b/core/host/message.go
@@ -27,10 +27,10 @@
 	}
 	// PeerHeartbeat is a host's heartbeat.
 	PeerHeartbeat struct{ Beat Heartbeat }
-	// AskPlace asks a group's owner for a place.
-	AskPlace struct {
+	// RequestPermit asks a group's owner for a place.
+	RequestPermit struct {
 		Group   routing.GroupID
-		Place   ident.Place
+		Place   ident.PermitID
 		Account ident.Account
 		Class   ident.Class
 		Model   ident.Model
@@ -39,20 +39,20 @@
 		// Within is the time left; hosts' clocks may differ.
 		Within  time.Duration
 		Exclude []ident.Target
-		// Final is set where another group has sent the ask on.
+		// Final is set where another group has sent the request on.
 		Final bool
 	}
-	// PlaceAnswer answers AskPlace, perhaps twice: Queued, then the end.
-	PlaceAnswer struct {
-		Place  ident.Place
+	// PermitReply answers AskPlace, perhaps twice: Queued, then the end.
+	PermitReply struct {
+		Place  ident.PermitID
 		Answer routing.Answer
 	}
 	// NotOwner says that the receiver of AskPlace does not own the group.
-	NotOwner struct{ Place ident.Place }
-	// FreePlace gives a place back, or takes an ask out of the queue.
-	FreePlace struct{ Place ident.Place }
-	// AdoptPlaces tells a new owner of the places its router holds.
-	AdoptPlaces struct {
+	NotOwner struct{ Place ident.PermitID }
+	// ReleasePermit gives a place back, or takes a request out of the queue.
+	ReleasePermit struct{ Place ident.PermitID }
+	// AdoptPermits tells a new owner of the places its router holds.
+	AdoptPermits struct {
 		Group   routing.GroupID
 		Permits []routing.Permit
 	}
@@ -213,11 +213,11 @@
 func (ReadRequest) message()   {}
 func (ReadReply) message()     {}
 func (PeerHeartbeat) message() {}
-func (AskPlace) message()      {}
-func (PlaceAnswer) message()   {}
+func (RequestPermit) message() {}
+func (PermitReply) message()   {}
 func (NotOwner) message()      {}
-func (FreePlace) message()     {}
-func (AdoptPlaces) message()   {}
+func (ReleasePermit) message() {}
+func (AdoptPermits) message()  {}
 func (AdoptChats) message()    {}
 func (FetchAnswer) message()   {}
 func (AnswerOf) message()      {}
--- a/core/host/owner.go
+++ b/core/host/owner.go
@@ -39,11 +39,11 @@
 		next, late := g.Expire(t.now)
 		next, moved, to := next.Reroute(t.boundIfWaiting(next))
 		t.groups = t.groups.With(id, next)
-		for _, ask := range moved {
-			t.answerAsk(ask, routing.Elsewhere{Group: to})
+		for _, req := range moved {
+			t.replyToRequest(req, routing.Elsewhere{Group: to})
 		}
-		for _, ask := range late {
-			t.answerAsk(ask, routing.Refused{Reason: routing.ReasonTimeout, RetryAfter: retryLater})
+		for _, req := range late {
+			t.replyToRequest(req, routing.Refused{Reason: routing.ReasonTimeout, RetryAfter: retryAfter})
 		}
 	}
 	if t.now.Before(t.probeAt) {
@@ -107,7 +107,7 @@
 func (t *transition) ownLoads() []routing.GroupLoad {
 	var out []routing.GroupLoad
 	for _, g := range t.groups.All() {
-		// A new owner does not know its load until routers have told it; a low
+		// A new owner does not know its load until routers have reported their permits; a low
 		// number would draw everyone here.
 		if t.now.Sub(g.Taken) >= settleTime {
 			out = append(out, loadOf(g))
@@ -116,33 +116,33 @@
 	return out
 }
 
-func (t *transition) askPlace(from ident.Host, m AskPlace) {
+func (t *transition) permitRequested(from ident.Host, m RequestPermit) {
 	g, ok := t.groups.Get(m.Group.String())
 	if !ok {
 		t.send(from, NotOwner{Place: m.Place})
 		return
 	}
-	ask := t.askOf(from, m)
-	g, answer := g.Ask(ask, t.bound(m.Group), t.now)
+	req := t.permitRequestOf(from, m)
+	g, answer := g.Request(req, t.bound(m.Group), t.now)
 	g, shed := g.TakeShed()
 	t.groups = t.groups.With(m.Group.String(), g)
 	for _, a := range shed {
-		t.answerAsk(a, routing.Refused{Reason: routing.ReasonShed, RetryAfter: retryLater})
+		t.replyToRequest(a, routing.Refused{Reason: routing.ReasonShed, RetryAfter: retryAfter})
 	}
 	t.countAnswer(answer)
-	t.answerAsk(ask, answer)
+	t.replyToRequest(req, answer)
 }
 
-// askOf completes an ask from the configuration, which the wire need not
+// permitRequestOf completes a request from the configuration, which the wire need not
 // carry.
-func (t *transition) askOf(from ident.Host, m AskPlace) routing.Ask {
+func (t *transition) permitRequestOf(from ident.Host, m RequestPermit) routing.PermitRequest {
 	account, _ := t.config.Accounts.Get(m.Account)
 	class, ok := t.config.Classes.Get(m.Class)
 	if !ok {
 		class.Rank = defaultRank
 	}
-	return routing.Ask{
-		Place: m.Place, Router: from, Incarnation: t.incarnationOf(from),
+	return routing.PermitRequest{
+		Permit: m.Place, Router: from, Incarnation: t.incarnationOf(from),
 		Account: m.Account, Weight: account.Weight, Rank: class.Rank, QueueLimit: class.QueueLimit,
 		MaxWait: time.Duration(class.MaxWait), Model: m.Model, Key: m.Chat, Work: m.Work,
 		Deadline: t.now.Add(m.Within), Exclude: m.Exclude, Final: m.Final,
@@ -173,11 +173,11 @@
 	}
 }
 
-func (t *transition) answerAsk(ask routing.Ask, a routing.Answer) {
-	t.send(ask.Router, PlaceAnswer{Place: ask.Place, Answer: a})
+func (t *transition) replyToRequest(req routing.PermitRequest, a routing.Answer) {
+	t.send(req.Router, PermitReply{Place: req.Permit, Answer: a})
 }
 
-func (t *transition) freePlace(m FreePlace) {
+func (t *transition) permitReleased(m ReleasePermit) {
 	for key, g := range t.groups.All() {
 		if !g.Holds(m.Place) {
 			continue
@@ -189,7 +189,7 @@
 	}
 }
 
-// serve gives places that became free to waiting asks.
+// serve gives places that became free to waiting requests.
 func (t *transition) serve(g routing.Group) {
 	if g.Waiting() == 0 {
 		return
@@ -202,11 +202,11 @@
 func (t *transition) sendGrants(grants []routing.Grant) {
 	for _, grant := range grants {
 		t.countAnswer(grant.Answer())
-		t.answerAsk(grant.Ask, grant.Answer())
+		t.replyToRequest(grant.Ask, grant.Answer())
 	}
 }
 
-func (t *transition) adoptPlaces(m AdoptPlaces) {
+func (t *transition) permitsAdopted(m AdoptPermits) {
 	g, ok := t.groups.Get(m.Group.String())
 	if !ok {
 		return
@@ -224,7 +224,7 @@
 }
 
 // handOverGroup passes what is remembered of chats to the next owner, in
-// messages of bounded size; asks that wait are asked anew by their routers.
+// messages of bounded size; requests that wait are asked anew by their routers.
 func (t *transition) handOverGroup(g routing.Group, owner ident.Host) {
 	if owner == "" {
 		return
--- a/core/host/peers.go
+++ b/core/host/peers.go
@@ -16,7 +16,7 @@
 	heartbeatInterval = time.Second
 	// peerTimeout without a new heartbeat makes a host count as gone.
 	peerTimeout = 3 * time.Second
-	// suspectAfter is the same for a host that has left an ask unanswered.
+	// suspectAfter is the same for a host that has left a request unanswered.
 	suspectAfter = 1300 * time.Millisecond
 )
 
@@ -157,7 +157,7 @@
 	return max(1, n)
 }
 
-// leavingSigns are the targets that told this host that they are stopping.
+// leavingSigns are the targets that reported to this host that they are stopping.
 func (t *transition) leavingSigns() []ident.Target {
 	var out []ident.Target
 	for id, h := range t.health.All() {
--- a/core/host/place.go
+++ b/core/host/place.go
@@ -11,8 +11,8 @@
 	"github.com/yardhall/yardhall/core/routing"
 )
 
-// ask finds a place for the call.
-func (t *transition) ask(c call) {
+// requestPermit finds a place for the call.
+func (t *transition) requestPermit(c call) {
 	if c.service.Kind == config.KindPlain {
 		t.pickPlain(c)
 		return
@@ -22,12 +22,12 @@
 		t.finish(c, t.noTarget(c))
 		return
 	}
-	t.askGroup(c, id, false)
+	t.requestPermitOf(c, id, false)
 }
 
 func (t *transition) noTarget(c call) Verdict {
 	return Verdict{
-		Outcome: c.worst, Code: CodeNoTarget, RetryAfter: retryLater,
+		Outcome: c.combined, Code: CodeNoTarget, RetryAfter: retryAfter,
 		Reason: "no target can take the request now",
 	}
 }
@@ -64,7 +64,7 @@
 	return best, true
 }
 
-// emptyGroup tells whether the owner last said that no engine is usable.
+// emptyGroup tells whether the owner last reported that no engine is usable.
 func (t *transition) emptyGroup(id routing.GroupID) bool {
 	owner := t.layout.owners[id]
 	if owner == t.settings.ID {
@@ -79,50 +79,50 @@
 	return false
 }
 
-func (t *transition) askGroup(c call, id routing.GroupID, final bool) {
+func (t *transition) requestPermitOf(c call, id routing.GroupID, final bool) {
 	c.phase = phaseAsking
 	c.group = id
 	c.owner = t.layout.owners[id]
 	c.target = ""
-	c.asks++
-	c.place = ident.PlaceOf(c.req.ID, c.asks)
+	c.permitRequests++
+	c.permit = ident.PermitIDOf(c.req.ID, c.permitRequests)
 	c.final = final || c.hops >= maxHops
-	c.wake = earlier(c.req.Deadline, t.now.Add(askTimeout))
-	t.put(c)
-	t.sendAsk(c)
+	c.wake = earlier(c.req.Deadline, t.now.Add(permitTimeout))
+	t.keepCall(c)
+	t.sendPermitRequest(c)
 }
 
-// sendAsk sends the call's newest ask, perhaps again: its owner repeats the
+// sendPermitRequest sends the call's newest request, perhaps again: its owner repeats the
 // answer to one that it has already.
-func (t *transition) sendAsk(c call) {
-	t.send(c.owner, AskPlace{
-		Group: c.group, Place: c.place, Account: c.account.ID, Class: c.class.ID, Model: c.req.Model,
+func (t *transition) sendPermitRequest(c call) {
+	t.send(c.owner, RequestPermit{
+		Group: c.group, Place: c.permit, Account: c.account.ID, Class: c.class.ID, Model: c.req.Model,
 		Chat: c.req.Chat, Work: c.req.Work, Within: c.req.Deadline.Sub(t.now),
 		Exclude: c.tried, Final: c.final,
 	})
 }
 
-// placeAnswer goes on with a call whose group has answered. An answer that
+// permitReplied goes on with a call whose group has answered. An answer that
 // nobody waits for any more frees its place.
-func (t *transition) placeAnswer(from ident.Host, m PlaceAnswer) {
+func (t *transition) permitReplied(from ident.Host, m PermitReply) {
 	c, ok := t.calls.Get(m.Place.Request())
-	waiting := ok && c.place == m.Place && (c.phase == phaseAsking || c.phase == phaseQueued)
+	waiting := ok && c.permit == m.Place && (c.phase == phaseAsking || c.phase == phaseQueued)
 	switch a := m.Answer.(type) {
 	case routing.Granted:
 		if !waiting {
-			t.freeUnwanted(from, m, c, ok)
+			t.releaseUnwanted(from, m, c, ok)
 			return
 		}
 		t.dispatch(c, a.Target)
 	case routing.Queued:
 		if waiting {
 			c.phase, c.wake = phaseQueued, earlier(c.req.Deadline, t.now.Add(queuedPoll))
-			t.put(c)
+			t.keepCall(c)
 		}
 	case routing.Elsewhere:
 		if waiting {
 			c.hops++
-			t.askGroup(c, a.Group, true)
+			t.requestPermitOf(c, a.Group, true)
 		}
 	case routing.Refused:
 		if waiting {
@@ -132,17 +132,17 @@
 	}
 }
 
-// freeUnwanted gives back a place that came too late, unless the call already
+// releaseUnwanted gives back a place that came too late, unless the call already
 // runs on it (a doubled answer).
-func (t *transition) freeUnwanted(from ident.Host, m PlaceAnswer, c call, ok bool) {
-	if ok && c.phase == phaseRunning && c.place == m.Place && c.owner != "" {
+func (t *transition) releaseUnwanted(from ident.Host, m PermitReply, c call, ok bool) {
+	if ok && c.phase == phaseRunning && c.permit == m.Place && c.owner != "" {
 		return
 	}
-	t.send(from, FreePlace{Place: m.Place})
+	t.send(from, ReleasePermit{Place: m.Place})
 }
 
 func refusedVerdict(c call, a routing.Refused) Verdict {
-	v := Verdict{Outcome: c.worst, Code: CodeOverloaded, RetryAfter: a.RetryAfter}
+	v := Verdict{Outcome: c.combined, Code: CodeOverloaded, RetryAfter: a.RetryAfter}
 	switch a.Reason {
 	case routing.ReasonNoTarget:
 		v.Code, v.Reason = CodeNoTarget, "no target can take the request now"
@@ -156,12 +156,12 @@
 
 func (t *transition) notOwner(m NotOwner) {
 	c, ok := t.calls.Get(m.Place.Request())
-	if ok && (c.phase == phaseAsking || c.phase == phaseQueued) && c.place == m.Place {
+	if ok && (c.phase == phaseAsking || c.phase == phaseQueued) && c.permit == m.Place {
 		t.pickLocally(c)
 	}
 }
 
-// pickLocally chooses by this host's own view, as the owner cannot be asked:
+// pickLocally chooses by this host's own view, as the owner does not answer:
 // the least loaded by own requests, no engine beyond this host's part of its
 // slots. Ties go by rendezvous: hosts that pick at once pick different engines,
 // and a chat the same one again.
@@ -170,7 +170,7 @@
 	c.owner = ""
 	var best config.Target
 	lowest, top := -1, uint64(0)
-	for _, target := range t.openTargets(c) {
+	for _, target := range t.localCandidates(c) {
 		n, _ := t.inFlight.Get(target.ID)
 		score := hash.Mix(c.req.Chat, hash.Of(string(target.ID)))
 		if lowest < 0 || n < lowest || (n == lowest && score > top) {
@@ -184,9 +184,9 @@
 	t.dispatch(c, best.ID)
 }
 
-// openTargets are the targets of the call's group that this host may use
-// without the owner's word.
-func (t *transition) openTargets(c call) []config.Target {
+// localCandidates are the targets of the call's group that this host may use
+// without a permit of the owner.
+func (t *transition) localCandidates(c call) []config.Target {
 	var out []config.Target
 	for _, p := range t.layout.services[c.service.ID] {
 		if p.id != c.group {
@@ -196,7 +196,7 @@
 			h, _ := t.health.Get(target.ID)
 			n, _ := t.inFlight.Get(target.ID)
 			tried := slices.Contains(c.tried, target.ID)
-			if h.Usable(t.now) && target.HasModel(c.req.Model) && !tried && n < t.ownPart(target) {
+			if h.Usable(t.now) && target.HasModel(c.req.Model) && !tried && n < t.localShare(target) {
 				out = append(out, target)
 			}
 		}
@@ -204,8 +204,8 @@
 	return out
 }
 
-// ownPart is what one host may send to a target without its owner's word.
-func (t *transition) ownPart(target config.Target) int {
+// localShare is what one host may send to a target without a permit of its owner.
+func (t *transition) localShare(target config.Target) int {
 	return max(1, target.Slots/t.aliveServing())
 }
 
@@ -239,15 +239,16 @@
 	n, _ := t.inFlight.Get(target.ID)
 	cost := n * percent / target.Slots
 	if target.Zone != t.settings.Zone {
-		cost += farPenalty
+		cost += remotePenalty
 	}
 	return cost
 }
 
-const farPenalty = 25
+// remotePenalty is in percent of a worker's slots. Chosen, not measured.
+const remotePenalty = 25
 
-// reportPlaces tells a group's new owner which places this host's calls hold.
-func (t *transition) reportPlaces(id routing.GroupID, owner ident.Host) {
+// reportPermits reports to a group's new owner which permits this host's calls hold.
+func (t *transition) reportPermits(id routing.GroupID, owner ident.Host) {
 	if owner == "" {
 		return
 	}
@@ -257,23 +258,23 @@
 			continue
 		}
 		c.owner = owner
-		t.put(c)
+		t.keepCall(c)
 		permits = append(permits, routing.Permit{
-			Place: c.place, Target: c.target, Account: c.account.ID, Key: c.req.Chat, Work: c.req.Work,
-			Router: t.settings.ID, Incarnation: t.settings.Incarnation, Until: c.req.Deadline.Add(retryLater),
+			Place: c.permit, Target: c.target, Account: c.account.ID, Key: c.req.Chat, Work: c.req.Work,
+			Router: t.settings.ID, Incarnation: t.settings.Incarnation, Until: c.req.Deadline.Add(retryAfter),
 		})
 	}
 	if len(permits) > 0 {
-		t.send(owner, AdoptPlaces{Group: id, Permits: permits})
+		t.send(owner, AdoptPermits{Group: id, Permits: permits})
 	}
 }
 
-// reask sends the asks that wait at a group's old owner to the new one.
-func (t *transition) reask(id routing.GroupID) {
+// requestPermitsAnew sends the requests that wait at a group's old owner to the new one.
+func (t *transition) requestPermitsAnew(id routing.GroupID) {
 	for _, c := range t.calls.All() {
 		if c.group == id && (c.phase == phaseAsking || c.phase == phaseQueued) {
 			c.owner = ""
-			t.ask(c)
+			t.requestPermit(c)
 		}
 	}
 }
--- a/core/host/world_test.go
+++ b/core/host/world_test.go
@@ -246,7 +246,7 @@
 	case host.Send:
 		to := slices.IndexFunc(w.hosts, func(s host.State) bool { return s.ID() == e.To })
 		w.count(i, to, e.Message)
-		if _, answer := e.Message.(host.PlaceAnswer); answer && w.loseGrants {
+		if _, answer := e.Message.(host.PermitReply); answer && w.loseGrants {
 			return
 		}
 		if to >= 0 {
--- a/core/ident/ident.go
+++ b/core/ident/ident.go
@@ -34,9 +34,9 @@
 	Class string
 	// Request names one caller request; unique over the fleet.
 	Request string
-	// Place names one ask of a request for a place on an engine; a request
+	// PermitID names one ask of a request for a place on an engine; a request
 	// that asks again has another.
-	Place string
+	PermitID string
 	// Intent names a placement intent.
 	Intent string
 	// Plan names a plan.
@@ -60,13 +60,13 @@
 	placeBase = 36
 )
 
-// PlaceOf names the ask with that number of a request.
-func PlaceOf(r Request, number int) Place {
-	return Place(string(r) + placeMark + strconv.FormatInt(int64(number), placeBase))
+// PermitIDOf names the ask with that number of a request.
+func PermitIDOf(r Request, number int) PermitID {
+	return PermitID(string(r) + placeMark + strconv.FormatInt(int64(number), placeBase))
 }
 
 // Request returns the request that asked for the place.
-func (p Place) Request() Request {
+func (p PermitID) Request() Request {
 	i := strings.LastIndex(string(p), placeMark)
 	if i < 0 {
 		return Request(p)
--- a/core/routing/directory.go
+++ b/core/routing/directory.go
@@ -12,8 +12,8 @@
 // DefaultChats bounds the chats that one group remembers.
 const DefaultChats = 32 << 10
 
-// Place is where a chat was served last.
-type Place struct {
+// ChatLocation is where a chat was served last.
+type ChatLocation struct {
 	Target ident.Target
 	// Group is set where the chat was sent to another group.
 	Group GroupID
@@ -26,13 +26,13 @@
 type Directory struct {
 	// Bound is the most chats kept; DefaultChats where 0.
 	Bound      int
-	young, old *immutable.Map[hash.Key, Place]
+	young, old *immutable.Map[hash.Key, ChatLocation]
 }
 
 // Len counts the chats remembered; one in both generations counts twice.
 func (d Directory) Len() int { return mapLen(d.young) + mapLen(d.old) }
 
-func mapLen(m *immutable.Map[hash.Key, Place]) int {
+func mapLen(m *immutable.Map[hash.Key, ChatLocation]) int {
 	if m == nil {
 		return 0
 	}
@@ -40,8 +40,8 @@
 }
 
 // Get returns the place of a chat.
-func (d Directory) Get(k hash.Key) (Place, bool) {
-	for _, m := range []*immutable.Map[hash.Key, Place]{d.young, d.old} {
+func (d Directory) Get(k hash.Key) (ChatLocation, bool) {
+	for _, m := range []*immutable.Map[hash.Key, ChatLocation]{d.young, d.old} {
 		if m == nil {
 			continue
 		}
@@ -49,11 +49,11 @@
 			return p, true
 		}
 	}
-	return Place{}, false
+	return ChatLocation{}, false
 }
 
 // With returns the directory with the place of k set. Key 0 is no chat.
-func (d Directory) With(k hash.Key, p Place) Directory {
+func (d Directory) With(k hash.Key, p ChatLocation) Directory {
 	if k == 0 {
 		return d
 	}
@@ -63,7 +63,7 @@
 	}
 	if d.young == nil || d.young.Len() >= bound/2 {
 		d.old = d.young
-		d.young = immutable.NewMap[hash.Key, Place](keyHasher{})
+		d.young = immutable.NewMap[hash.Key, ChatLocation](keyHasher{})
 	}
 	d.young = d.young.Set(k, p)
 	return d
@@ -81,13 +81,13 @@
 // Chat is one entry of a directory as it travels to another owner.
 type Chat struct {
 	Key   hash.Key
-	Place Place
+	Place ChatLocation
 }
 
 // Chats lists the directory, the older generation first.
 func (d Directory) Chats() []Chat {
 	out := make([]Chat, 0, d.Len())
-	for _, m := range []*immutable.Map[hash.Key, Place]{d.old, d.young} {
+	for _, m := range []*immutable.Map[hash.Key, ChatLocation]{d.old, d.young} {
 		if m == nil {
 			continue
 		}
--- a/core/routing/group.go
+++ b/core/routing/group.go
@@ -10,10 +10,10 @@
 //
 //	g := routing.NewGroup(id, now)
 //	g = g.WithEngines(engines)
-//	g, answer := g.Ask(ask, bound, now)
+//	g, answer := g.Request(request, bound, now)
 //	g, granted := g.Release(place, bound, now)
 //
-// Ask answers Granted, Queued, Elsewhere or Refused. Release returns the asks
+// Request answers Granted, Queued, Elsewhere or Refused. Release returns the requests
 // from the queue that the freed place has served.
 package routing
 
@@ -71,7 +71,7 @@
 
 func (e Engine) serves(m ident.Model) bool { return m == "" || slices.Contains(e.Models, m) }
 
-// reportWindow is how late a load report may be.
+// reportWindow is how late a load report may be. Chosen, not measured: two reports.
 const reportWindow = 4 * time.Second
 
 // withMine returns e with n more permits.
@@ -87,7 +87,7 @@
 
 // Permit is a place on an engine given to one request.
 type Permit struct {
-	Place   ident.Place
+	Place   ident.PermitID
 	Target  ident.Target
 	Account ident.Account
 	Key     hash.Key
@@ -106,15 +106,15 @@
 	// Taken is when this owner took the group up.
 	Taken     time.Time
 	engines   []Engine
-	permits   table.Table[ident.Place, Permit]
+	permits   table.Table[ident.PermitID, Permit]
 	accounts  table.Table[ident.Account, int]
 	directory Directory
 	// moved are chats placed anew since TakeMoved, for the group's backup.
 	moved         []Chat
 	queue         queue
 	total, usable int
-	// shed are asks that gave way in a full queue and must be told so.
-	shed []Ask
+	// shed are requests that gave way in a full queue and must be told so.
+	shed []PermitRequest
 }
 
 // NewGroup returns an empty group, taken up at now.
@@ -130,7 +130,7 @@
 // Usable counts the usable engines.
 func (g Group) Usable() int { return g.usable }
 
-// Waiting counts the asks in the queue.
+// Waiting counts the requests in the queue.
 func (g Group) Waiting() int { return g.queue.len() }
 
 // Permits counts the permits out.
@@ -254,11 +254,11 @@
 	if i := g.index(p.Target); i >= 0 {
 		g = g.withEngine(i, g.engines[i].withMine(1, p.Work, now))
 	}
-	return g.withPlace(p.Key, Place{Target: p.Target})
+	return g.withLocation(p.Key, ChatLocation{Target: p.Target})
 }
 
-// withPlace remembers where a chat goes.
-func (g Group) withPlace(k hash.Key, p Place) Group {
+// withLocation remembers where a chat goes.
+func (g Group) withLocation(k hash.Key, p ChatLocation) Group {
 	if old, ok := g.directory.Get(k); k != 0 && (!ok || old != p) {
 		g.moved = append(g.moved[:len(g.moved):len(g.moved)], Chat{Key: k, Place: p})
 	}
@@ -287,9 +287,9 @@
 	return g
 }
 
-// Grant is a place given to an ask.
+// Grant is a place given to a request.
 type Grant struct {
-	Ask    Ask
+	Ask    PermitRequest
 	Target ident.Target
 	// Known is true where the chat was remembered on that engine.
 	Known bool
@@ -299,12 +299,12 @@
 func (g Grant) Answer() Granted { return Granted{Target: g.Target, Known: g.Known} }
 
 // Holds tells whether a place is given or asked for here.
-func (g Group) Holds(place ident.Place) bool {
+func (g Group) Holds(place ident.PermitID) bool {
 	return g.permits.Has(place) || g.queue.index.Has(place)
 }
 
-// Release frees a place, or takes its ask out of the queue, and serves the queue.
-func (g Group) Release(place ident.Place, b Bound, now time.Time) (Group, []Grant) {
+// Release frees a place, or takes its request out of the queue, and serves the queue.
+func (g Group) Release(place ident.PermitID, b Bound, now time.Time) (Group, []Grant) {
 	if p, ok := g.permits.Get(place); ok {
 		g = g.withoutPermit(p, now)
 	} else {
@@ -325,48 +325,48 @@
 	return g
 }
 
-// Expire frees places past their time, and returns the asks that have waited
+// Expire frees places past their time, and returns the requests that have waited
 // too long.
-func (g Group) Expire(now time.Time) (Group, []Ask) {
+func (g Group) Expire(now time.Time) (Group, []PermitRequest) {
 	for _, p := range g.permits.All() {
 		if now.After(p.Until) {
 			g = g.withoutPermit(p, now)
 		}
 	}
-	var late []Ask
+	var late []PermitRequest
 	g.queue, late = g.queue.expire(now)
 	return g, late
 }
 
-// Serve gives free places to waiting asks, best first.
+// Serve gives free places to waiting requests, best first.
 func (g Group) Serve(b Bound, now time.Time) (Group, []Grant) {
 	var grants []Grant
 	var full []ident.Model
 	for {
-		ask, ok := g.queue.next(g.accounts, full)
+		req, ok := g.queue.next(g.accounts, full)
 		if !ok {
 			return g, grants
 		}
-		i, known := g.choose(ask, b, now)
+		i, known := g.choose(req, b, now)
 		if i < 0 {
-			full = append(full, ask.Model)
+			full = append(full, req.Model)
 			continue
 		}
-		g.queue = g.queue.without(ask.Place)
+		g.queue = g.queue.without(req.Permit)
 		var grant Grant
-		g, grant = g.grant(ask, i, known, now)
+		g, grant = g.grant(req, i, known, now)
 		grants = append(grants, grant)
 	}
 }
 
-func (g Group) grant(ask Ask, i int, known bool, now time.Time) (Group, Grant) {
+func (g Group) grant(req PermitRequest, i int, known bool, now time.Time) (Group, Grant) {
 	target := g.engines[i].ID
 	g = g.withPermit(Permit{
-		Place: ask.Place, Target: target, Account: ask.Account, Key: ask.Key, Work: ask.Work,
-		Router: ask.Router, Incarnation: ask.Incarnation, Until: ask.Deadline.Add(permitGrace),
+		Place: req.Permit, Target: target, Account: req.Account, Key: req.Key, Work: req.Work,
+		Router: req.Router, Incarnation: req.Incarnation, Until: req.Deadline.Add(permitGrace),
 	}, now)
-	return g, Grant{Ask: ask, Target: target, Known: known}
+	return g, Grant{Ask: req, Target: target, Known: known}
 }
 
-// permitGrace is how long a permit outlives its request's deadline.
+// permitGrace is how long a permit outlives its request's deadline. Chosen, not measured.
 const permitGrace = 10 * time.Second
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -29,9 +29,9 @@
 	return out
 }
 
-func ask(place, account string, rank int) routing.Ask {
-	return routing.Ask{
-		Place: ident.Place(place), Router: "h", Account: ident.Account(account), Rank: rank, Model: "m",
+func req(place, account string, rank int) routing.PermitRequest {
+	return routing.PermitRequest{
+		Permit: ident.PermitID(place), Router: "h", Account: ident.Account(account), Rank: rank, Model: "m",
 		Key: hash.Of(place), Deadline: begin.Add(time.Hour), QueueLimit: 8,
 	}
 }
@@ -46,34 +46,34 @@
 		specs := engines(n, 4, "m")
 		b := routing.Bound{Multiple: 1.5}
 		g := routing.NewGroup(id, now).WithEngines(specs, now)
-		open := map[ident.Place]bool{}
-		granted := map[ident.Place]ident.Target{}
+		open := map[ident.PermitID]bool{}
+		granted := map[ident.PermitID]ident.Target{}
 		take := func(gr routing.Grant) {
-			require.True(t, open[gr.Ask.Place], "granted twice or never asked")
-			delete(open, gr.Ask.Place)
-			granted[gr.Ask.Place] = gr.Target
+			require.True(t, open[gr.Ask.Permit], "granted twice or never asked")
+			delete(open, gr.Ask.Permit)
+			granted[gr.Ask.Permit] = gr.Target
 		}
 		for i := range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 6).Draw(t, "act") {
 			case 0, 1, 2:
-				a := ask(fmt.Sprint("r", i), fmt.Sprint("a", i%3), i%3)
+				a := req(fmt.Sprint("r", i), fmt.Sprint("a", i%3), i%3)
 				a.Key = hash.Of(fmt.Sprint(i % 7))
 				var answer routing.Answer
-				g, answer = g.Ask(a, b, now)
-				var shed []routing.Ask
+				g, answer = g.Request(a, b, now)
+				var shed []routing.PermitRequest
 				g, shed = g.TakeShed()
 				for _, s := range shed {
-					require.True(t, open[s.Place])
-					delete(open, s.Place)
+					require.True(t, open[s.Permit])
+					delete(open, s.Permit)
 				}
 				switch answer := answer.(type) {
 				case routing.Granted:
-					open[a.Place] = true
+					open[a.Permit] = true
 					take(routing.Grant{Ask: a, Target: answer.Target})
 					checkPlacement(t, g, answer.Target, b)
 				case routing.Queued:
-					open[a.Place] = true
+					open[a.Permit] = true
 				}
 			case 3, 4:
 				for p := range granted {
@@ -125,44 +125,44 @@
 	b := routing.Bound{Multiple: 2}
 	g := routing.NewGroup(id, begin).WithEngines(engines(1, 10, "m"), begin)
 	for i := range 12 {
-		g, _ = g.Ask(ask(fmt.Sprint("bulk", i), "surging", 2), b, begin)
+		g, _ = g.Request(req(fmt.Sprint("bulk", i), "surging", 2), b, begin)
 	}
 	require.Equal(t, 3, g.Waiting(), "a tenth of the slots is kept for rank 0")
-	_, answer := g.Ask(ask("stop", "floor", 0), b, begin)
+	_, answer := g.Request(req("stop", "floor", 0), b, begin)
 	require.IsType(t, routing.Granted{}, answer)
-	g, _ = g.Ask(ask("normal", "quiet", 1), b, begin)
+	g, _ = g.Request(req("normal", "quiet", 1), b, begin)
 	_, grants := g.Release("bulk0", b, begin)
-	require.Equal(t, ident.Place("normal"), grants[0].Ask.Place, "a better class goes first")
+	require.Equal(t, ident.PermitID("normal"), grants[0].Ask.Permit, "a better class goes first")
 }
 
 func TestSurgeIsHeldToItsShareAndShedsItself(t *testing.T) {
 	b := routing.Bound{Multiple: 2}
 	g := routing.NewGroup(id, begin).WithEngines(engines(1, 20, "m"), begin)
 	for i := range 26 {
-		g, _ = g.Ask(ask(fmt.Sprint("s", i), "surging", 1), b, begin)
+		g, _ = g.Request(req(fmt.Sprint("s", i), "surging", 1), b, begin)
 	}
-	g, answer := g.Ask(ask("q0", "quiet", 1), b, begin)
+	g, answer := g.Request(req("q0", "quiet", 1), b, begin)
 	require.IsType(t, routing.Queued{}, answer, "a full line makes room for an account that has less in it")
 	g, shed := g.TakeShed()
 	require.Len(t, shed, 1)
 	require.Equal(t, ident.Account("surging"), shed[0].Account)
-	_, answer = g.Ask(ask("s99", "surging", 1), b, begin)
+	_, answer = g.Request(req("s99", "surging", 1), b, begin)
 	require.IsType(t, routing.Refused{}, answer, "the surge itself is told at once")
 	_, grants := g.Release("s0", b, begin)
-	require.Equal(t, ident.Place("q0"), grants[0].Ask.Place)
+	require.Equal(t, ident.PermitID("q0"), grants[0].Ask.Permit)
 }
 
-// TestDoubledAskCountsOnce delivers an ask twice, granted and queued: the
+// TestDoubledAskCountsOnce delivers a request twice, granted and queued: the
 // engine's load and the queue count it once, and the answer is the same.
 func TestDoubledAskCountsOnce(t *testing.T) {
 	var b routing.Bound
 	g := routing.NewGroup(id, begin).WithEngines(engines(1, 1, "m"), begin)
-	g, first := g.Ask(ask("a", "x", 1), b, begin)
-	g, again := g.Ask(ask("a", "x", 1), b, begin)
+	g, first := g.Request(req("a", "x", 1), b, begin)
+	g, again := g.Request(req("a", "x", 1), b, begin)
 	require.Equal(t, first.(routing.Granted).Target, again.(routing.Granted).Target)
 	require.Equal(t, 1, g.Engines()[0].Mine)
-	g, _ = g.Ask(ask("b", "x", 1), b, begin)
-	g, _ = g.Ask(ask("b", "x", 1), b, begin)
+	g, _ = g.Request(req("b", "x", 1), b, begin)
+	g, _ = g.Request(req("b", "x", 1), b, begin)
 	require.Equal(t, 1, g.Waiting())
 	g, _ = g.Release("a", b, begin)
 	g, _ = g.Release("b", b, begin)
@@ -174,18 +174,18 @@
 	g := routing.NewGroup(id, begin).WithEngines(specs, begin)
 	var b routing.Bound
 	for i := range 4 {
-		g, _ = g.Ask(ask(fmt.Sprint("m", i), "a", 1), b, begin)
+		g, _ = g.Request(req(fmt.Sprint("m", i), "a", 1), b, begin)
 	}
-	other := ask("other", "a", 1)
+	other := req("other", "a", 1)
 	other.Model = "other"
-	_, answer := g.Ask(other, b, begin)
+	_, answer := g.Request(other, b, begin)
 	require.IsType(t, routing.Granted{}, answer)
 }
 
 func TestDirectoryIsBoundedAndKeepsWhatIsUsed(t *testing.T) {
 	d := routing.Directory{Bound: 100}
 	for i := range 1000 {
-		d = d.With(hash.Of(fmt.Sprint(i)), routing.Place{Target: "e"})
+		d = d.With(hash.Of(fmt.Sprint(i)), routing.ChatLocation{Target: "e"})
 		if p, ok := d.Get(hash.Of("0")); ok {
 			d = d.With(hash.Of("0"), p)
 		}
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -105,7 +105,7 @@
 	small := options("b")
 	small.MaxMessage = 4 << 10
 	address, taken := serve(t, small)
-	huge := host.AdoptPlaces{}
+	huge := host.AdoptPermits{}
 	huge.Group.Zone = ident.Zone(make([]byte, 64<<10))
 	require.Zero(t, send(address, options("a"), huge, taken))
 	arrives(t, address, options("a"), beat, taken)
--- a/peers/pool.go
+++ b/peers/pool.go
@@ -22,18 +22,19 @@
 )
 
 const (
-	// queueLen bounds the messages that wait for one host.
+	// queueLen bounds the messages that wait for one host. Chosen, not measured.
 	queueLen = 4096
-	// maxBatch bounds the messages in one call.
+	// maxBatch bounds the messages in one call. Chosen, not measured.
 	maxBatch = 128
-	// maxCalls bounds the calls under way to one host.
+	// maxCalls bounds the calls in progress to one host. Chosen, not measured.
 	maxCalls = 8
 	// redialPause follows a failed dial, and doubles with each one in a row up to
-	// maxRedialPause: a host that is overloaded must not be called all the more.
+	// maxRedialPause: a host that is overloaded must not be called all the more. Chosen,
+	// not measured.
 	redialPause    = 200 * time.Millisecond
 	maxRedialPause = 800 * time.Millisecond
 	// refusedPause follows a dial that was refused: no process listens yet, so that
-	// asking costs it nothing, and it is likely starting.
+	// another dial costs it nothing, and it is likely starting. Chosen, not measured.
 	refusedPause = 100 * time.Millisecond
 )
 
