--- a/callers/serve.go
+++ b/callers/serve.go
@@ -244,6 +244,7 @@
 	if err != nil {
 		return errors.Wrap(err, "encode error")
 	}
+	// The stream ends here, whether the caller still reads it or not.
 	_ = s.Write([]byte("event: error\ndata: " + string(text) + "\n\n"))
 	return nil
 }
--- a/core/host/clients.go
+++ b/core/host/clients.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/yardhall/yardhall/core/config"
+	"github.com/yardhall/yardhall/core/hubs"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/loads"
 	"github.com/yardhall/yardhall/core/registry"
@@ -49,9 +50,9 @@
 	loads    loads.Digest
 	// host is what others are told of the host. A hub counts the clients whose primary
 	// hub it is; group are those that the client itself counts as a hub.
-	host    EntryHost
+	host    hubs.Host
 	primary bool
-	group   []EntryHost
+	group   []hubs.Host
 }
 
 // live tells whether the client polled not long ago.
@@ -78,7 +79,7 @@
 func (t *transition) clientOf(from ident.Host, m Poll) client {
 	c := client{
 		version: m.Version, revision: m.Revision, lastPoll: t.now, table: m.Table, serves: m.Serves, loads: m.Loads,
-		boot: m.Boot, host: EntryHost{Host: from, Zone: m.Zone, Relay: m.Relay}, primary: m.Home, group: m.Group,
+		boot: m.Boot, host: hubs.Host{Host: from, Zone: m.Zone, Relay: m.Relay}, primary: m.Home, group: m.Group,
 		fallback: m.Neighbour,
 	}
 	if m.Epoch != t.settings.Incarnation {
@@ -115,7 +116,7 @@
 		t.note(NoteWorker, string(from), "sent heartbeats that cannot be read: "+err.Error())
 	}
 	if !t.settings.IsReplica() {
-		t.gatherHeartbeats(workers...)
+		t.seeded.relay = t.seeded.relay.WithHeartbeats(workers...)
 		return
 	}
 	for _, w := range workers {
--- a/core/host/fallback.go
+++ b/core/host/fallback.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/yardhall/yardhall/core/hash"
+	"github.com/yardhall/yardhall/core/hubs"
 	"github.com/yardhall/yardhall/core/ident"
 )
 
@@ -29,10 +29,9 @@
 )
 
 // fallbackState is what a host knows of its fallback peers; on a replica it is the list
-// that it sends. Its slice is never changed in place.
+// that it sends.
 type fallbackState struct {
-	list []EntryHost
-	key  hash.Key
+	list hubs.List
 	// nextPeer counts the polls, which go to one peer after the other.
 	nextPeer int
 }
@@ -40,19 +39,11 @@
 // nameFallbackPeers picks the entry hosts that others may poll, on a replica that has had
 // the time to know all. Large fleets have hubs for that: there the list would change with
 // each host that comes, and fill replicas' links.
-func (t *transition) nameFallbackPeers(hosts []EntryHost) {
-	f := &t.seeded.fallback
-	if len(t.seeded.hub.list) > 0 || len(hosts) > t.hubsAbove() || t.now.Sub(t.started) < hubWarmUp {
-		f.list, f.key = nil, 0
-		return
-	}
-	list := pickOfEachZone(hosts)
-	names := make([]string, 0, len(list)+1)
-	names = append(names, "neighbours")
-	for _, h := range list {
-		names = append(names, string(h.Host))
+func (t *transition) nameFallbackPeers(hosts []hubs.Host) {
+	t.seeded.fallback.list = hubs.List{}
+	if t.seeded.hub.list.Len() == 0 && len(hosts) <= t.hubsAbove() && t.now.Sub(t.started) >= hubWarmUp {
+		t.seeded.fallback.list = hubs.FallbackPeers(hosts)
 	}
-	f.list, f.key = list, hash.Of(names...)
 }
 
 // withFallbackPeers adds the list to a leader's reply where the client holds another one.
@@ -61,21 +52,21 @@
 	if !t.settings.IsReplica() || !r.Fresh {
 		return r
 	}
-	f := t.seeded.fallback
-	r.NeighbourList = f.key
-	if f.key != m.NeighbourList {
-		r.Neighbours = f.list
+	list := t.seeded.fallback.list
+	r.NeighbourList = list.Key
+	if list.Key != m.NeighbourList {
+		r.Neighbours = list.Hosts
 	}
 	return r
 }
 
 // takeFallbackPeers keeps the list in a leader's reply.
 func (t *transition) takeFallbackPeers(m PollReply) {
-	f := &t.seeded.fallback
-	if m.NeighbourList == 0 || m.NeighbourList == f.key || len(m.Neighbours) == 0 {
+	held := t.seeded.fallback.list.Key
+	if m.NeighbourList == 0 || m.NeighbourList == held || len(m.Neighbours) == 0 {
 		return
 	}
-	f.list, f.key = m.Neighbours, m.NeighbourList
+	t.seeded.fallback.list = hubs.List{Hosts: m.Neighbours, Key: m.NeighbourList}
 }
 
 // fallbackPeersToPoll are the entry hosts to poll now; none while confirmations come.
@@ -85,10 +76,10 @@
 		return nil
 	}
 	list := t.seeded.fallback.list
-	if len(t.seeded.hub.list) > 0 {
-		list = t.seeded.hub.list
+	if t.seeded.hub.list.Len() > 0 {
+		list = t.seeded.hub.list.List
 	}
-	others := slices.DeleteFunc(slices.Clone(list), func(h EntryHost) bool { return h.Host == t.settings.ID })
+	others := slices.DeleteFunc(slices.Clone(list.Hosts), func(h hubs.Host) bool { return h.Host == t.settings.ID })
 	var out []ident.Host
 	for range min(fallbackPeersPolled, len(others)) {
 		t.seeded.fallback.nextPeer++
--- a/core/host/message.go
+++ b/core/host/message.go
@@ -8,6 +8,7 @@
 	"github.com/yardhall/yardhall/core/catalog"
 	"github.com/yardhall/yardhall/core/config"
 	"github.com/yardhall/yardhall/core/hash"
+	"github.com/yardhall/yardhall/core/hubs"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/loads"
 	"github.com/yardhall/yardhall/core/raft"
@@ -145,7 +146,7 @@
 		InForce config.Version
 		// Grouped is set where Group, the hosts that this hub counts, is reported.
 		Grouped bool
-		Group   []EntryHost
+		Group   []hubs.Host
 	}
 	// PollReply replies to a Poll, or is an update with Round 0. Its fields travel by
 	// their names, so they keep them.
@@ -175,11 +176,11 @@
 		// HubList names the list of the fleet's hubs, 0 for none known; Hubs are they,
 		// where the client holds another list.
 		HubList hash.Key
-		Hubs    []EntryHost
+		Hubs    []hubs.Host
 		// NeighbourList names the list of fallback peers, Neighbours are they, where the
 		// client holds another list.
 		NeighbourList hash.Key
-		Neighbours    []EntryHost
+		Neighbours    []hubs.Host
 		// Neighbour is set where a fallback peer replies in place of replicas.
 		Neighbour bool
 		// Age and LoadsAge are how old a hub's confirmation and Loads are; 0 at a replica.
--- a/core/host/polling.go
+++ b/core/host/polling.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/yardhall/yardhall/core/hash"
+	"github.com/yardhall/yardhall/core/hubs"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/registry"
 )
@@ -69,7 +70,7 @@
 	t.noteLostReplicas(hosts)
 	t.deregisterElsewhere(hosts)
 	heartbeats := t.heartbeatsFor(hosts)
-	group, grouped := []EntryHost(nil), false
+	group, grouped := []hubs.Host(nil), false
 	if t.isHub() {
 		group, grouped = t.groupReport()
 	}
@@ -104,7 +105,7 @@
 	if !t.pollsHubs() {
 		return t.knownReplicas()
 	}
-	out := t.polledHubs()
+	out := t.seeded.hub.choice.Polled()
 	if t.hubsFailed() && !t.now.Before(t.seeded.hub.pollReplicasAt) {
 		t.seeded.hub.pollReplicasAt = t.now.Add(maxPollInterval)
 		out = append(out, t.knownReplicas()...)
@@ -115,8 +116,8 @@
 // pollInterval is the time between two polls.
 func (t *transition) pollInterval() time.Duration {
 	polling := t.seeded.hosts
-	if hubs := len(t.seeded.hub.list); hubs > 0 {
-		polling = hubs
+	if n := t.seeded.hub.list.Len(); n > 0 {
+		polling = n
 	}
 	return min(max(minPollInterval, time.Duration(polling)*pollIntervalPerHost), maxPollInterval)
 }
@@ -155,13 +156,13 @@
 	pollAll := t.now.Sub(t.seeded.leaderReplyAt) > min(pollAllAfterIntervals*t.pollInterval(), maxLeaderWait)
 	return Poll{
 		Version: t.config.Version,
-		Lead:    isLeaderContact || t.seeded.hub.polled.Has(to) || pollAll,
+		Lead:    isLeaderContact || t.seeded.hub.choice.Has(to) || pollAll,
 		Table:   to == t.tableSource() || isLeaderContact && t.tableOverdue(),
 		Sums:    to == t.loadSource() && !t.now.Before(t.seeded.loadsAt),
 		Epoch:   c.epoch, Revision: c.revision, Serves: t.settings.Serves && !t.draining, Loads: t.loadsFor(to),
 		Boot: t.settings.Incarnation, Zone: t.settings.Zone, Relay: t.relayAddress(),
-		Home: primary != "" && to == primary, HubList: t.seeded.hub.key,
-		NeighbourList: t.seeded.fallback.key,
+		Home: primary != "" && to == primary, HubList: t.seeded.hub.list.Key,
+		NeighbourList: t.seeded.fallback.list.Key,
 	}
 }
 
@@ -220,7 +221,7 @@
 // sources are the contacts of which one may be the source of something.
 func (t *transition) sources() []ident.Host {
 	if t.pollsHubs() && !t.hubsFailed() {
-		return t.polledHubs()
+		return t.seeded.hub.choice.Polled()
 	}
 	return t.knownReplicas()
 }
--- a/core/host/pollreply.go
+++ b/core/host/pollreply.go
@@ -148,8 +148,8 @@
 	c.lastReply, c.lost = t.now, false
 	if !m.Cut {
 		c.lastUsefulReply = t.now
-		if t.seeded.hub.polled.Has(from) {
-			t.seeded.hub.usefulAt = t.now
+		if t.seeded.hub.choice.Has(from) {
+			t.seeded.hub.choice = t.seeded.hub.choice.WithUseful(t.now)
 		}
 	}
 	switch {
--- a/core/host/registrations.go
+++ b/core/host/registrations.go
@@ -4,11 +4,20 @@
 
 import (
 	"fmt"
+	"time"
 
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/registry"
 )
 
+const (
+	// registryInterval is the time between two looks over all registrations. Chosen, not
+	// measured.
+	registryInterval = 500 * time.Millisecond
+	// defaultWorkerSilence is how long a worker may be silent: five heartbeats of 1.2 s.
+	defaultWorkerSilence = 6 * time.Second
+)
+
 // registerHeartbeat takes a worker's heartbeat on a replica and logs what is new in it.
 func (t *transition) registerHeartbeat(w registry.Worker) {
 	next, changed := t.registry.WithHeartbeat(w, t.now)
@@ -30,10 +39,10 @@
 // tickRegistry looks over all registrations and clients now and then, on a replica: which
 // workers are silent, and which hosts are hubs, fallback peers and relays.
 func (t *transition) tickRegistry() {
-	if t.now.Sub(t.seeded.relay.lookedAt) < registryInterval {
+	if t.now.Sub(t.seeded.lookedAt) < registryInterval {
 		return
 	}
-	t.seeded.relay.lookedAt = t.now
+	t.seeded.lookedAt = t.now
 	silence := t.settings.SilentAfter
 	if silence == 0 {
 		silence = defaultWorkerSilence
--- a/core/host/seeded.go
+++ b/core/host/seeded.go
@@ -7,9 +7,11 @@
 	"time"
 
 	"github.com/yardhall/yardhall/core/config"
+	"github.com/yardhall/yardhall/core/hubs"
 	"github.com/yardhall/yardhall/core/ident"
 	"github.com/yardhall/yardhall/core/inforce"
 	"github.com/yardhall/yardhall/core/membership"
+	"github.com/yardhall/yardhall/core/relay"
 	"github.com/yardhall/yardhall/core/requests"
 	"github.com/yardhall/yardhall/core/table"
 )
@@ -58,7 +60,12 @@
 
 	// inForce is what is known of which tables are in force.
 	inForce inforce.State
-	relay   relayState
+	// relay is what a relay keeps, relays are those that a replica names; never changed in
+	// place.
+	relay  relay.State
+	relays []hubs.Host
+	// lookedAt is when the registrations were last looked over.
+	lookedAt time.Time
 	// membership is what a replica keeps of the replicas that ask to be taken in.
 	membership membership.State
 }
--- a/core/host/times_test.go
+++ b/core/host/times_test.go
@@ -8,7 +8,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"github.com/yardhall/yardhall/core/hubs"
 	"github.com/yardhall/yardhall/core/raft"
+	"github.com/yardhall/yardhall/core/relay"
 	"github.com/yardhall/yardhall/core/requests"
 )
 
@@ -16,12 +18,12 @@
 func TestTimesFitTogether(t *testing.T) {
 	const heartbeat = 1200 * time.Millisecond
 	require.Equal(t, WorkerSilence(heartbeat), defaultWorkerSilence)
-	require.Less(t, relayInterval+relayReplicaTimeout+heartbeat, defaultWorkerSilence)
-	require.Greater(t, relayReplicaTimeout, maxPollInterval)
+	require.Less(t, relay.Interval+relay.ReplicaTimeout+heartbeat, defaultWorkerSilence)
+	require.Greater(t, relay.ReplicaTimeout, maxPollInterval)
 	require.Greater(t, replicaTimeout, 2*maxPollInterval)
 	require.Greater(t, clientLifetime, 2*maxPollInterval)
 	require.Greater(t, clientLifetime, groupReportInterval+maxPollInterval)
-	require.Equal(t, hubTimeout, 4*minPollInterval)
+	require.Equal(t, hubs.FailedAfter, maxLeaderWait)
 	require.Greater(t, fallbackAfter, leaderTimeoutIntervals*minPollInterval)
 	require.Equal(t, requests.DefaultKeyLease, 2*maxLeaderWait)
 	require.Less(t, balancerNotice, requests.DefaultKeyLease)
--- a/core/host/updates.go
+++ b/core/host/updates.go
@@ -5,6 +5,7 @@
 import (
 	"time"
 
+	"github.com/yardhall/yardhall/core/hubs"
 	"github.com/yardhall/yardhall/core/registry"
 	"github.com/yardhall/yardhall/core/table"
 )
@@ -69,8 +70,8 @@
 // the registrations of thousands of workers would go to hundreds of hosts, which fills its
 // link for longer than the fleet needs to start.
 func (t *transition) hubsExpected() bool {
-	return t.settings.IsReplica() && len(t.seeded.hub.list) == 0 && t.seeded.clients.Len() > t.hubsAbove() &&
-		t.now.Sub(t.started) < hubWarmUp+hubListSettle
+	return t.settings.IsReplica() && t.seeded.hub.list.Len() == 0 && t.seeded.clients.Len() > t.hubsAbove() &&
+		t.now.Sub(t.started) < hubWarmUp+hubs.Settle
 }
 
 // workerBatches are packed batches of registrations, which many clients are sent, by the
--- a/core/host/view.go
+++ b/core/host/view.go
@@ -228,7 +228,7 @@
 		Hosts: s.seeded.hosts, Asks: s.seeded.hub.polledLast, Serves: s.settings.IsReplica() || s.seeded.hub.serves,
 		Askers: s.seeded.clients.Len(), ConfirmedAt: s.requests.Confirmed().AsOf, Workers: s.requests.KnownWorkers(),
 	}
-	for _, h := range s.seeded.hub.list {
+	for _, h := range s.seeded.hub.list.Hosts {
 		d.Hubs = append(d.Hubs, h.Host)
 	}
 	return d
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -121,6 +121,7 @@
 	m.prompt.Add(int64(o.PromptTokens))
 	m.mu.Lock()
 	defer m.mu.Unlock()
+	// clampMicros keeps values within the histogram's range, the only error there is.
 	_ = m.took.RecordValue(clampMicros(o.Took))
 	if o.FirstByte > 0 {
 		_ = m.first.RecordValue(clampMicros(o.FirstByte))
--- a/daemon/stop.go
+++ b/daemon/stop.go
@@ -102,5 +102,5 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTime)
 	defer cancel()
-	_ = server.Shutdown(ctx)
+	_ = server.Shutdown(ctx) // Its error is that shutdownTime is over; Close follows.
 }
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -48,7 +48,7 @@
 	copyHeader(c.writer.Header(), c.server.headers.toCaller(a.header))
 	c.writer.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 	c.writer.WriteHeader(a.status)
-	_, _ = c.writer.Write(a.body)
+	_, _ = c.writer.Write(a.body) // The worker has answered; a caller that has left changes nothing.
 }
 
 // copyHeader copies a worker's headers; what it did not send is not added.
--- a/settings/load.go
+++ b/settings/load.go
@@ -93,7 +93,7 @@
 func setDefaults(v reflect.Value) {
 	for i := range v.NumField() {
 		if d := v.Type().Field(i).Tag.Get("default"); d != "" {
-			_ = setField(v.Field(i), d)
+			_ = setField(v.Field(i), d) // Defaults are constants, and a test reads them all.
 		}
 	}
 }
--- a/storage/generation.go
+++ b/storage/generation.go
@@ -103,6 +103,7 @@
 		return err
 	}
 	if old != nil && old.file != nil {
+		// What stays behind is not read again, as the newer generation counts.
 		_ = old.file.Close()
 		_ = os.Remove(l.path(old.generation, "snap"))
 		_ = os.Remove(l.path(old.generation, "log"))
@@ -127,6 +128,7 @@
 		err = cerr
 	}
 	if err != nil {
+		// A file left under this name is written anew.
 		_ = os.Remove(tmp)
 		return errors.Wrap(err, "write file")
 	}
--- a/storage/storage.go
+++ b/storage/storage.go
@@ -217,6 +217,7 @@
 	if err := appendFrame(&buf, b); err != nil {
 		return err
 	}
+	// What rewind cannot cut off is written over by the next try, from the same place.
 	if _, err := l.file.WriteAt(buf.Bytes(), l.good); err != nil {
 		_ = l.rewind()
 		return errors.Wrap(err, "write log")
--- a/targets/exchange.go
+++ b/targets/exchange.go
@@ -187,6 +187,7 @@
 			p.begun = true
 		}
 		if isDone(line) {
+			// The target's answer is whole, whether the caller still reads it or not.
 			_ = p.exchange.Sink.Write([]byte("data: [DONE]\n\n"))
 			return nil
 		}
