--- a/core/config/change.go
+++ b/core/config/change.go
@@ -52,8 +52,8 @@
 	}
 	// PutRouteTable replaces the whole route table.
 	PutRouteTable struct{ Gateway RouteTable }
-	// PatchRouteTable replaces the whole route table too, told by what differs from
-	// the one in force.
+	// PatchRouteTable replaces the whole route table too, by what differs from the
+	// one in force.
 	PatchRouteTable struct{ Patch RouteTablePatch }
 )
 
--- a/core/config/routetablepatch.go
+++ b/core/config/routetablepatch.go
@@ -8,8 +8,8 @@
 	"github.com/yardhall/yardhall/core/pack"
 )
 
-// RouteTablePatch is a route table, its source included, told by what differs from
-// another one. A change of a few routes of a large table is a small patch.
+// RouteTablePatch is a route table, its source included, by what differs from another
+// one. A change of a few routes of a large table is a small patch.
 type RouteTablePatch struct {
 	Delta  RouteTableDelta `json:"delta"`
 	Source []pack.Step     `json:"source,omitempty"`
--- a/core/host/clients.go
+++ b/core/host/clients.go
@@ -48,7 +48,7 @@
 	// fallback is set where the host polls this entry host in place of replicas.
 	fallback bool
 	loads    loads.Digest
-	// host is what others are told of the host. A hub counts the clients whose primary
+	// host is how the client is reported to others. A hub counts the clients whose primary
 	// hub it is; group are those that the client itself counts as a hub.
 	host    hubs.Host
 	primary bool
--- a/core/host/effect.go
+++ b/core/host/effect.go
@@ -76,7 +76,7 @@
 		ID string
 		OK bool
 	}
-	// HeartbeatAnswer answers a worker: whether its word was taken, and the ip:port
+	// HeartbeatAnswer answers a worker: whether its heartbeat was taken, and the ip:port
 	// for its next heartbeats, empty for no change.
 	HeartbeatAnswer struct {
 		Taken bool
--- a/core/host/host.go
+++ b/core/host/host.go
@@ -27,71 +27,6 @@
 	"github.com/yardhall/yardhall/core/table"
 )
 
-// Settings are what a process learns from its settings file.
-type Settings struct {
-	ID   ident.Host
-	Zone ident.Zone
-	// Address is the peer ip:port that others dial.
-	Address string
-	// Serves is true where it takes callers' requests.
-	Serves bool
-	// Replicas are the hosts that keep the replicated state at first start.
-	Replicas []config.Host
-	// Neighbours are hosts of the same zone, asked for configuration where no
-	// replica can be reached.
-	Neighbours []config.Host
-	// Raft are the times of the replicated log.
-	Raft raft.Options
-	// Incarnation grows with each start of this process.
-	Incarnation uint64
-	// Chats bounds the chats remembered per group; 0 is the default.
-	Chats int
-	// Seeds are peer addresses at which replicas can be found, in a fleet whose
-	// replicas are not listed. There a host's ID is its peer address.
-	Seeds []ident.Host
-	// Identity names the data folder of a replica in a seeded fleet.
-	Identity ident.Host
-	// Voters is how many replicas shall vote in a seeded fleet.
-	Voters int
-	// SilentAfter is how long a registered worker may be silent; 0 is the default.
-	SilentAfter time.Duration
-	// Relay is the ip:port at which this host takes workers' heartbeats for the
-	// replicas; empty for none.
-	Relay string
-	// HubsAbove is the number of entry hosts above which a replica names hubs; 0 is
-	// the default.
-	HubsAbove int
-	// InForce is how long after its acknowledgement a route table is in force
-	// everywhere; 0 is the default.
-	InForce time.Duration
-	// Requests are the bounds of the route table's requests.
-	Requests requests.Settings
-}
-
-// Seeded tells whether replicas are found through seeds.
-func (s Settings) Seeded() bool { return len(s.Seeds) > 0 }
-
-// replicaID is the name of this replica in the replicated log.
-func (s Settings) replicaID() ident.Host {
-	if s.Identity != "" {
-		return s.Identity
-	}
-	return s.ID
-}
-
-// IsReplica tells whether this process keeps the replicated state.
-func (s Settings) IsReplica() bool {
-	if s.Identity != "" {
-		return true
-	}
-	for _, r := range s.Replicas {
-		if r.ID == s.ID {
-			return true
-		}
-	}
-	return false
-}
-
 // State is a whole process. It is immutable; Reduce returns the next one. The
 // zero State belongs to a process without settings that serves nothing.
 type State struct {
@@ -158,37 +93,6 @@
 	counters Counters
 }
 
-// Counters count what a process decided; they only grow.
-type Counters struct {
-	Requests      uint64
-	Ran           uint64
-	NotRun        uint64
-	Unknown       uint64
-	Retries       uint64
-	Fallbacks     uint64
-	Grants        uint64
-	KnownGrants   uint64
-	Queued        uint64
-	Refused       uint64
-	Elsewhere     uint64
-	Claims        uint64
-	ClaimsDenied  uint64
-	Writes        uint64
-	OrdersSent    uint64
-	Elections     uint64
-	ConfigApplied uint64
-	StaleConfig   uint64
-	Adopted       uint64
-	Ejections     uint64
-	Repairs       uint64
-	// Heartbeats counts workers' heartbeats taken here, HeartbeatsRedirected those of
-	// them answered with a relay for the next ones, HeartbeatsDeclined those that this
-	// host did not take. Their JSON names are those of the metrics port.
-	Heartbeats           uint64 `json:"Beats"`
-	HeartbeatsRedirected uint64 `json:"BeatsNamed"`
-	HeartbeatsDeclined   uint64 `json:"BeatsDeclined"`
-}
-
 // New returns the process as it starts at now.
 func New(s Settings, seed uint64, now time.Time) State {
 	return State{
--- a/core/inforce/inforce.go
+++ b/core/inforce/inforce.go
@@ -35,7 +35,7 @@
 	// DefaultWithin is the time after its acknowledgement in which a table is in force
 	// everywhere, as the users ask for it.
 	DefaultWithin = 2 * time.Second
-	// margin is kept from Within for clocks that run at other rates, and for the way of
+	// margin is kept from Within for clocks that run at other rates, and for the path of
 	// a request from the decision to its worker. Chosen, not measured.
 	margin = 100 * time.Millisecond
 	// reportGap is the least time between two polls that a host sends early because it
--- a/core/raft/raft.go
+++ b/core/raft/raft.go
@@ -41,45 +41,6 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Defaults of Options.
-const (
-	DefaultElection  = 1500 * time.Millisecond
-	DefaultHeartbeat = 400 * time.Millisecond
-	DefaultMaxBatch  = 64 << 10
-	DefaultChunk     = 128 << 10
-	// leaseDrift is the share of the election time by which clocks may differ
-	// in rate while a lease is still trusted: 1/leaseDrift.
-	leaseDrift = 10
-)
-
-// Options are the times and bounds of a replica; zero fields take defaults.
-type Options struct {
-	// Election is the shortest time without a leader before an election.
-	Election time.Duration
-	// Heartbeat is the leader's sending interval.
-	Heartbeat time.Duration
-	// MaxBatch bounds the bytes of entries in one Append.
-	MaxBatch int
-	// Chunk bounds the bytes of one SnapshotChunk.
-	Chunk int
-}
-
-func (o Options) withDefaults() Options {
-	if o.Election == 0 {
-		o.Election = DefaultElection
-	}
-	if o.Heartbeat == 0 {
-		o.Heartbeat = DefaultHeartbeat
-	}
-	if o.MaxBatch == 0 {
-		o.MaxBatch = DefaultMaxBatch
-	}
-	if o.Chunk == 0 {
-		o.Chunk = DefaultChunk
-	}
-	return o
-}
-
 // Member is one replica; a learner has Voter false.
 type Member struct {
 	ID    ident.Host
@@ -305,74 +266,6 @@
 	}
 }
 
-// guardTerm handles messages of other terms and tells whether m is done with.
-func (w *step) guardTerm(from ident.Host, m Message) bool {
-	t := termOf(m)
-	if v, ok := m.(VoteRequest); ok && (v.Pre || !v.Transfer) && w.leaderAlive(from, v) && t > w.hard.Term {
-		// A replica back from a long cut must not unseat a live leader.
-		w.send(from, VoteReply{Term: w.hard.Term, Pre: v.Pre})
-		return true
-	}
-	if v, ok := m.(VoteReply); ok && v.Pre && v.Granted {
-		return false
-	}
-	if v, ok := m.(VoteRequest); ok && v.Pre {
-		return false
-	}
-	if t > w.hard.Term {
-		w.become(Follower, t)
-		return false
-	}
-	if t < w.hard.Term {
-		w.answerStale(from, m)
-		return true
-	}
-	return false
-}
-
-// answerStale tells a sender of an older term about the present one.
-func (w *step) answerStale(from ident.Host, m Message) {
-	switch m := m.(type) {
-	case Append, SnapshotChunk:
-		w.send(from, AppendReply{Term: w.hard.Term})
-	case VoteRequest:
-		w.send(from, VoteReply{Term: w.hard.Term, Pre: m.Pre})
-	}
-}
-
-// leaderAlive tells whether a leader may rely on this replica not to elect another
-// one, as a request for votes asks.
-func (w *step) leaderAlive(from ident.Host, m VoteRequest) bool {
-	if w.role != Leader && w.leaseIsVoid(from, m) {
-		return false
-	}
-	if w.role == Leader || w.now.Before(w.promised) {
-		return true
-	}
-	return w.leader != "" && w.now.Sub(w.leaderSeen) < w.options.Election
-}
-
-func (w *step) become(r Role, t Term) {
-	if t > w.hard.Term {
-		w.hard.Term = t
-		w.hard.Vote = ""
-		w.hard.Leader = ""
-		w.leader = ""
-		if r != Candidate {
-			w.hurryUntil = time.Time{}
-		}
-	}
-	if r != Leader && w.role == Leader {
-		w.leader = ""
-	}
-	w.role = r
-	w.votes, w.refusals = nil, nil
-	if r != Leader {
-		w.peers, w.rounds = nil, nil
-		w.resetElection()
-	}
-}
-
 func (w *step) persisted(ev Persisted) {
 	if t, ok := w.log.TermAt(ev.Index); !ok || t != ev.Term {
 		return
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -65,7 +65,7 @@
 	return a.State > b.State
 }
 
-// entry is a worker with the time it was last heard.
+// entry is a worker with the time it was last seen.
 type entry struct {
 	worker   Worker
 	lastSeen time.Time
@@ -86,7 +86,7 @@
 	forgetSilent = time.Minute
 )
 
-// Registry is the registrations heard here. It is immutable; the zero value is
+// Registry is the registrations taken here. It is immutable; the zero value is
 // empty.
 type Registry struct {
 	workers  table.Table[ident.Target, entry]
@@ -117,7 +117,7 @@
 // Len returns how many workers are known.
 func (r Registry) Len() int { return r.workers.Len() }
 
-// Get returns a worker as last heard.
+// Get returns a worker as last seen.
 func (r Registry) Get(id ident.Target) (Worker, bool) {
 	e, ok := r.workers.Get(id)
 	return e.worker, ok
@@ -192,7 +192,7 @@
 	return r
 }
 
-// WithReport takes what another registry told of a worker.
+// WithReport takes what another registry reports of a worker.
 func (r Registry) WithReport(w Worker, now time.Time) Registry {
 	have, known := r.workers.Get(w.ID)
 	if known && !Newer(w, have.worker) {
@@ -222,7 +222,7 @@
 	return e.worker.State == Gone && age > forgetGone || e.worker.State == Silent && age > forgetSilent
 }
 
-// Expire marks workers silent that were not heard for silentAfter and forgets
+// Expire marks workers silent that were not seen for silentAfter and forgets
 // those that are over for long.
 func (r Registry) Expire(silentAfter time.Duration, now time.Time) (next Registry, changed bool) {
 	r = r.Forget(now)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -83,16 +83,7 @@
 		DialTimeout: s.Targets.DialTimeout, ProbeTimeout: s.Targets.ProbeTimeout, StreamStall: s.Targets.StreamStall,
 		From: from, Blocked: o.BlockedAddress,
 	})
-	hs := host.Settings{
-		ID: s.ID(), Zone: ident.Zone(s.Host.Zone), Address: s.Peer.Address(), Serves: s.Serves(),
-		Replicas: s.Replicas.Hosts(), Neighbours: s.Neighbors.Hosts(), Raft: o.Raft,
-		Incarnation: incarnation, Chats: s.Host.Chats, Seeds: s.SeedHosts(), Voters: 2*s.Replicas.Losses + 1,
-		SilentAfter: host.WorkerSilence(s.Gateway.Heartbeat), Requests: gatewaySettings(s), Relay: s.Gateway.Relay,
-		HubsAbove: s.Replicas.HubsAbove, InForce: min(s.Gateway.InForce, s.Gateway.Revoke),
-	}
-	if s.Seeded() {
-		hs.Raft = host.SeededRaft(o.Raft)
-	}
+	hs := hostSettings(s, o, incarnation)
 	log, boot, err := d.openStorage(&hs)
 	if err != nil {
 		return nil, err
@@ -114,6 +105,21 @@
 	return d, d.listen()
 }
 
+// hostSettings are what the core learns from the settings file.
+func hostSettings(s settings.Settings, o Options, incarnation uint64) host.Settings {
+	hs := host.Settings{
+		ID: s.ID(), Zone: ident.Zone(s.Host.Zone), Address: s.Peer.Address(), Serves: s.Serves(),
+		Replicas: s.Replicas.Hosts(), Neighbours: s.Neighbors.Hosts(), Raft: o.Raft,
+		Incarnation: incarnation, Chats: s.Host.Chats, Seeds: s.SeedHosts(), Voters: 2*s.Replicas.Losses + 1,
+		SilentAfter: host.WorkerSilence(s.Gateway.Heartbeat), Requests: gatewaySettings(s), Relay: s.Gateway.Relay,
+		HubsAbove: s.Replicas.HubsAbove, InForce: min(s.Gateway.InForce, s.Gateway.Revoke),
+	}
+	if s.Seeded() {
+		hs.Raft = host.SeededRaft(o.Raft)
+	}
+	return hs
+}
+
 // goesFirst tells whether connections with an address are opened before others: on a
 // replica of a seeded fleet those with other replicas, elsewhere all.
 func (d *Daemon) goesFirst(ip netip.Addr) bool {
--- a/daemon/requestlog.go
+++ b/daemon/requestlog.go
@@ -55,6 +55,12 @@
 			l.log.Info("try", tryFields(o, try)...)
 		}
 	}
+	l.log.Info("request", requestFields(o)...)
+}
+
+// requestFields are how a request ended, and the decision for its last worker, if it had
+// any.
+func requestFields(o gateway.Observation) []any {
 	fields := []any{"outcome", string(o.Verdict.Outcome), "code", string(o.Verdict.Code), "took_ms", millis(o.Took)}
 	if o.Verdict.Reason != "" {
 		fields = append(fields, "reason", o.Verdict.Reason)
@@ -71,7 +77,7 @@
 	if o.Pause > 0 {
 		fields = append(fields, "pause_ms", millis(o.Pause))
 	}
-	if last >= 0 {
+	if last := len(o.Tries) - 1; last >= 0 {
 		route := o.Tries[last].Dispatch.Route
 		fields = append(fields, "objective_ms", millis(time.Duration(route.Objective)), "max_pause_ms", millis(time.Duration(route.MaxPause)))
 		fields = append(fields, tryFields(o, o.Tries[last])...)
@@ -79,7 +85,7 @@
 		fields = append(fields, "request", string(o.Request.ID), "route", o.Request.Host+o.Request.Path,
 			"table", o.Inputs.Number, "table_age_ms", millis(o.Inputs.ConfigAge))
 	}
-	l.log.Info("request", fields...)
+	return fields
 }
 
 // tryFields are the decision for a worker, what it was made from, and what came
