--- a/core/catalog/forms_test.go
+++ b/core/catalog/forms_test.go
@@ -79,7 +79,8 @@
 	for i, change := range config.Types() {
 		forms = append(forms, writeForm(fmt.Sprintf("edit-%02d", i), Edit{}, change.(config.Change)))
 	}
-	all := formtest.Check(t, string(text), *addForms, forms)
+	all, err := formtest.Check(string(text), *addForms, forms)
+	require.NoError(t, err)
 	if *addForms {
 		require.NoError(t, os.WriteFile(storedGolden, []byte(all), 0o600))
 	}
--- a/core/config/forms_test.go
+++ b/core/config/forms_test.go
@@ -26,7 +26,7 @@
 	require.True(t, err == nil || *addForms, "%v", err)
 	table := formtest.Filled(reflect.TypeFor[config.RouteTable](), nil).Interface().(config.RouteTable)
 	delta := formtest.Filled(reflect.TypeFor[config.RouteTableDelta](), nil).Interface().(config.RouteTableDelta)
-	all := formtest.Check(t, string(text), *addForms, []formtest.Form{
+	all, err := formtest.Check(string(text), *addForms, []formtest.Form{
 		{
 			Name: "table", Want: table.WithoutSource(),
 			Encode: func() ([]byte, error) { return table.Packed(), nil },
@@ -38,6 +38,7 @@
 			Decode: func(record []byte) (any, error) { return config.UnpackRouteTableDelta(record) },
 		},
 	})
+	require.NoError(t, err)
 	if *addForms {
 		require.NoError(t, os.WriteFile(packedGolden, []byte(all), 0o600))
 	}
--- a/core/formtest/formtest.go
+++ b/core/formtest/formtest.go
@@ -7,7 +7,7 @@
 // # Usage
 //
 //	value := formtest.Filled(reflect.TypeFor[raft.Entry](), choose).Interface()
-//	text = formtest.Check(t, text, add, []formtest.Form{{Name: "entry", Want: value, ...}})
+//	text, err = formtest.Check(text, add, []formtest.Form{{Name: "entry", Want: value, ...}})
 //	names, err := formtest.Keys(jsonDocument)
 //
 // It owns no state and reads no file; the tests that use it keep the golden files.
--- a/core/formtest/formtest_test.go
+++ b/core/formtest/formtest_test.go
@@ -50,3 +50,24 @@
 	require.NoError(t, err)
 	require.Equal(t, []string{".a", ".a[].b", ".a[].c", ".a[].c.d"}, keys)
 }
+
+func form(want any) formtest.Form {
+	return formtest.Form{
+		Name: "a", Want: want,
+		Encode: func() ([]byte, error) { return []byte{1}, nil },
+		Decode: func(record []byte) (any, error) { return int(record[0]), nil },
+	}
+}
+
+func TestCheckFindsWhatNoLongerReads(t *testing.T) {
+	text, err := formtest.Check("", true, []formtest.Form{form(1)})
+	require.NoError(t, err)
+	_, err = formtest.Check(text, false, []formtest.Form{form(1)})
+	require.NoError(t, err)
+	_, err = formtest.Check(text, false, []formtest.Form{form(2)})
+	require.ErrorContains(t, err, "golden bytes hold 1")
+	_, err = formtest.Check(text, false, nil)
+	require.ErrorContains(t, err, "1 records for 0 forms")
+	_, err = formtest.Check("", false, []formtest.Form{form(1)})
+	require.ErrorContains(t, err, "no golden bytes")
+}
--- a/core/formtest/golden.go
+++ b/core/formtest/golden.go
@@ -4,11 +4,11 @@
 
 import (
 	"encoding/hex"
+	"reflect"
 	"slices"
 	"strings"
 
 	"github.com/pkg/errors"
-	"github.com/stretchr/testify/require"
 )
 
 // Golden holds records by name, as a file of lines "name hex".
@@ -57,24 +57,44 @@
 }
 
 // Check decodes the golden record of each form and compares it with the value wanted: a
-// field that was renamed comes out empty and so unequal. It fails as well where a record
-// has no form any more. Where add is set, forms without a record are encoded and added;
-// the text returned is then the file to write.
-func Check(t require.TestingT, text string, add bool, forms []Form) string {
+// field that was renamed comes out empty and so unequal. It returns an error as well where a
+// record has no form any more. Where add is set, forms without a record are encoded and
+// added; the text returned is then the file to write.
+func Check(text string, add bool, forms []Form) (string, error) {
 	golden, err := Parse(text)
-	require.NoError(t, err)
+	if err != nil {
+		return "", err
+	}
 	for _, f := range forms {
 		if add {
 			record, err := f.Encode()
-			require.NoError(t, err, f.Name)
+			if err != nil {
+				return "", errors.Wrapf(err, "encode %s", f.Name)
+			}
 			golden = golden.With(f.Name, record)
 		}
-		record, ok := golden[f.Name]
-		require.True(t, ok, "%s has no golden bytes; run with -add-forms", f.Name)
-		got, err := f.Decode(record)
-		require.NoError(t, err, f.Name)
-		require.Equal(t, f.Want, got, f.Name)
+		if err := f.check(golden); err != nil {
+			return "", err
+		}
+	}
+	if len(golden) != len(forms) {
+		return "", errors.Errorf("%d records for %d forms", len(golden), len(forms))
+	}
+	return golden.String(), nil
+}
+
+// check compares one form with its golden record.
+func (f Form) check(golden Golden) error {
+	record, ok := golden[f.Name]
+	if !ok {
+		return errors.Errorf("%s has no golden bytes; run with -add-forms", f.Name)
+	}
+	got, err := f.Decode(record)
+	if err != nil {
+		return errors.Wrapf(err, "decode %s", f.Name)
+	}
+	if !reflect.DeepEqual(f.Want, got) {
+		return errors.Errorf("%s: want %+v, the golden bytes hold %+v", f.Name, f.Want, got)
 	}
-	require.Len(t, golden, len(forms), "a record has no form any more")
-	return golden.String()
+	return nil
 }
--- a/peers/forms_test.go
+++ b/peers/forms_test.go
@@ -64,7 +64,8 @@
 		forms = append(forms, gobForm("type-"+w.Name, carrier{Value: filled(w.Value)}))
 	}
 	forms = append(forms, gobForm("hello", filled(Hello{})), gobForm("batch", filled(Batch{})), gobForm("ack", filled(Ack{})))
-	all := formtest.Check(t, string(text), *addForms, forms)
+	all, err := formtest.Check(string(text), *addForms, forms)
+	require.NoError(t, err)
 	if *addForms {
 		require.NoError(t, os.WriteFile(wireGolden, []byte(all), 0o600))
 	}
