--- a/core/host/host.go
+++ b/core/host/host.go
@@ -11,6 +11,22 @@
 //
 // A process carries out the effects in order and feeds what comes of them back
 // as events. The same events at the same times give the same effects.
+//
+// It composes packages with states of their own (requests, raft, catalog, registry, hubs,
+// relay, inforce, membership, routing): it gathers their inputs and turns what they return
+// into effects. What it decides itself, by file:
+//
+//	polling.go, pollreply.go     seeded fleets: whom to poll, what a reply changes
+//	clients.go, updates.go       what clients are sent, and how much at once
+//	hub.go, fallback.go          how hubs serve, and whom to poll without replicas
+//	seeded.go, times.go          readiness, and the times of a seeded fleet
+//	write.go, read.go            how writes and reads reach the leader
+//	replica.go                   what a committed entry changes
+//	admit.go, call.go, retry.go  listed fleets: callers' requests
+//	place.go, owner.go           permits of engine groups, on both sides
+//	claim.go                     the right to run once
+//	orders.go, repair.go         fenced orders, and replacing lost engines
+//	peers.go, follow.go          heartbeats between hosts, and following a replica
 package host
 
 import (
--- a/core/host/verdict.go
+++ b/core/host/verdict.go
@@ -9,7 +9,7 @@
 	"github.com/yardhall/yardhall/core/outcome"
 )
 
-// Verdict is what a caller is told.
+// Verdict is how a request ended for its caller.
 type Verdict struct {
 	Outcome outcome.Kind
 	Code    Code
--- a/core/requests/attempt.go
+++ b/core/requests/attempt.go
@@ -16,8 +16,7 @@
 //	abandoned                 never
 //
 // So a request that must not run twice goes on only where it is proved that no worker ran
-// it: it was never sent, or declined. The outcome told to the caller joins those of all
-// attempts.
+// it: it was never sent, or declined. The caller's outcome joins those of all attempts.
 
 // serverError is the lowest status by which a worker says that it failed (RFC 9110, 15.6).
 const serverError = 500
--- a/core/requests/decision.go
+++ b/core/requests/decision.go
@@ -99,7 +99,7 @@
 	Candidates int
 }
 
-// Verdict is what the caller is told.
+// Verdict is how a request ended for its caller.
 type Verdict struct {
 	Outcome outcome.Kind
 	Code    Code
--- a/core/routing/bound.go
+++ b/core/routing/bound.go
@@ -14,10 +14,10 @@
 // rounded up is always allowed, so that a request finds a place while slots are free.
 //
 // Inputs: the exact load of the group's engines in requests, the loads of the other groups
-// as their owners report them (about a second old), and Multiple. Measured by the policy
-// bench at multiples of 1.25 and 1.5 with 30 requests in flight an engine and no router
-// lost: busiest engine over the mean 1.249 and 1.434 at the 99.9th percentile, reuse 0.951
-// and 0.989 of the ideal.
+// as their owners report them (about a second old), and Multiple. Measured by
+// BenchmarkPolicy at multiples of 1.25 and 1.5 with 30 requests in flight an engine and no
+// router lost: busiest engine over the mean 1.249 and 1.434 at the 99.9th percentile, reuse
+// 0.951 and 0.989 of the ideal.
 const (
 	// newShare is for new chats: the room is kept for returning ones. Measured: with more
 	// of it the skew rose and the reuse did not.
--- a/core/routing/group.go
+++ b/core/routing/group.go
@@ -99,7 +99,7 @@
 	moved         []Chat
 	queue         queue
 	total, usable int
-	// shed are requests that gave way in a full queue and must be told so.
+	// shed are requests that gave way in a full queue and are to be refused.
 	shed []PermitRequest
 }
 
--- a/core/routing/permits.go
+++ b/core/routing/permits.go
@@ -77,7 +77,7 @@
 	Known bool
 }
 
-// Answer returns the grant as its router is told.
+// Answer returns the grant as the reply to its router.
 func (g Grant) Answer() Granted { return Granted{Target: g.Target, Known: g.Known} }
 
 // Holds tells whether a place is given or asked for here.
