--- a/Makefile
+++ b/Makefile
@@ -3,6 +3,7 @@
 GO ?= go
 LINT_VERSION := v2.15.0
 TOOLS_VERSION := v0.52.0
+GOPLS_VERSION := v0.23.0
 MODULES := . core standin
 
 # Property tests draw the same cases each time; only packages with such tests
@@ -13,7 +14,7 @@
 OTHER_ROOT = $(filter-out $(RAPID_ROOT),$(shell $(GO) list -f '.{{slice .Dir (len .Module.Dir)}}' ./...))
 OTHER_CORE = $(filter-out $(RAPID_CORE),$(shell cd core && $(GO) list -f '.{{slice .Dir (len .Module.Dir)}}' ./...))
 
-.PHONY: all build test failures soak capacity measure score hunt lint fmt demo clean
+.PHONY: all build test failures soak capacity measure score hunt lint gopls fmt demo clean
 
 all: build
 
@@ -83,6 +84,15 @@
 	GOWORK=off GOBIN=$(CURDIR)/bin/lint $(GO) install golang.org/x/tools/cmd/deadcode@$(TOOLS_VERSION)
 	mv bin/lint/deadcode $@
 
+# gopls renames identifiers over the whole workspace, files behind build tags apart:
+# bin/gopls-VERSION rename -w FILE:LINE:COLUMN NAME
+gopls: bin/gopls-$(GOPLS_VERSION)
+
+bin/gopls-$(GOPLS_VERSION):
+	mkdir -p bin/lint
+	GOWORK=off GOBIN=$(CURDIR)/bin/lint $(GO) install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+	mv bin/lint/gopls $@
+
 # The linter, then functions that nothing reaches: in modules with tests, and in the
 # product from its two programs alone, where the rigs of tests are left out and so are
 # yardhall's own header names, which an adapter replaces.
