--- a/core/host/times.go
+++ b/core/host/times.go
@@ -9,37 +9,36 @@
 )
 
 const (
-	// seededElection and seededHeartbeat are the times of the replicated log in a seeded
-	// fleet, whose entry hosts wait for confirmations: shorter than elsewhere, as an
-	// election is an outage there. Chosen, not measured, after elections of 1.5 s and more
-	// had refused requests with a key for as long; an election waits for four heartbeats.
+	// seededElection and seededHeartbeat are the Raft election timeout and heartbeat interval
+	// of a seeded fleet. They are shorter than the defaults because entry hosts get no
+	// confirmations, and refuse requests with a key, while an election lasts.
 	seededElection  = 900 * time.Millisecond
 	seededHeartbeat = 200 * time.Millisecond
-	// missedHeartbeats is how many heartbeats a worker may miss until it counts as silent.
-	// Chosen, not measured.
+	// missedHeartbeats is how many heartbeats a worker may miss before it counts as silent.
 	missedHeartbeats = 5
-	// firstPoll is the time from a leader's election until a host knows of it: an interval
-	// between polls, and two thirds of one for the reply.
+	// firstPoll is the time from a leader's election until an entry host learns of it: one
+	// minPollInterval, and two thirds of one for the reply.
 	firstPoll = 500 * time.Millisecond
 )
 
-// SeededRaft returns the times of the replicated log in a seeded fleet, unless others are
-// set.
-func SeededRaft(o raft.Options) raft.Options {
+// SeededRaftOptions returns o with the election timeout and heartbeat interval of a seeded
+// fleet, unless o already sets an election timeout.
+func SeededRaftOptions(o raft.Options) raft.Options {
 	if o.Election == 0 {
 		o.Election, o.Heartbeat = seededElection, seededHeartbeat
 	}
 	return o
 }
 
-// StartTime is how long an entry host may need until it can serve where replicas start at
-// the same time: the wait of a restarted replica, the longest draw of an election, and a
-// poll of the leader.
-func StartTime() time.Duration { return 2*seededElection + firstPoll }
+// MaxStartupTime returns how long an entry host may take until it can serve when all replicas
+// start at the same time: the wait of a restarted replica, the longest randomized election
+// timeout and one poll of the leader.
+func MaxStartupTime() time.Duration { return 2*seededElection + firstPoll }
 
-// WorkerSilence is how long a worker that sends heartbeats at an interval may be silent.
-func WorkerSilence(heartbeat time.Duration) time.Duration { return missedHeartbeats * heartbeat }
+// WorkerTimeout returns how long a worker with the given heartbeat interval may be silent.
+func WorkerTimeout(heartbeat time.Duration) time.Duration { return missedHeartbeats * heartbeat }
 
-// timeOfDay is the present time by the calendar, for what outlives the process or is compared
-// with times that callers name. It may be set.
+// timeOfDay returns the wall clock time, for values that outlive the process or are compared
+// with times named by callers. Unlike t.now it excludes suspensions of the machine, and it
+// may jump when the clock is set.
 func (t *transition) timeOfDay() time.Time { return t.now.Add(-t.suspended) }
--- a/core/host/times_test.go
+++ b/core/host/times_test.go
@@ -17,7 +17,7 @@
 // TestTimesFitTogether holds what the comments of the constants say of each other.
 func TestTimesFitTogether(t *testing.T) {
 	const heartbeat = 1200 * time.Millisecond
-	require.Equal(t, WorkerSilence(heartbeat), defaultWorkerSilence)
+	require.Equal(t, WorkerTimeout(heartbeat), defaultWorkerSilence)
 	require.Less(t, relay.Interval+relay.ReplicaTimeout+heartbeat, defaultWorkerSilence)
 	require.Greater(t, relay.ReplicaTimeout, maxPollInterval)
 	require.Greater(t, replicaTimeout, 2*maxPollInterval)
@@ -30,9 +30,9 @@
 }
 
 func TestSeededFleetsElectSooner(t *testing.T) {
-	o := SeededRaft(raft.Options{})
+	o := SeededRaftOptions(raft.Options{})
 	require.Equal(t, raft.Options{Election: seededElection, Heartbeat: seededHeartbeat}, o)
-	require.Equal(t, raft.Options{Election: time.Minute}, SeededRaft(raft.Options{Election: time.Minute}))
-	require.Greater(t, StartTime(), 2*o.Election)
+	require.Equal(t, raft.Options{Election: time.Minute}, SeededRaftOptions(raft.Options{Election: time.Minute}))
+	require.Greater(t, MaxStartupTime(), 2*o.Election)
 	require.Greater(t, o.Election, 4*o.Heartbeat)
 }
--- a/core/host/view.go
+++ b/core/host/view.go
@@ -37,9 +37,9 @@
 // Requests returns the route table's part of this host.
 func (s State) Requests() requests.State { return s.requests }
 
-// ReplicaHosts are the addresses at which replicas of a seeded fleet are found: the
-// members as this replica knows them, and the seeds.
-func (s State) ReplicaHosts() []ident.Host {
+// ReplicaAddresses returns the seeds followed by the addresses of the Raft members known to
+// this replica.
+func (s State) ReplicaAddresses() []ident.Host {
 	out := slices.Clone(s.settings.Seeds)
 	for _, m := range s.raft.Members() {
 		out = append(out, m.ID.Address())
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -119,11 +119,11 @@
 		ID: s.ID(), Zone: ident.Zone(s.Host.Zone), Address: s.Peer.Address(), Serves: s.Serves(),
 		Replicas: s.Replicas.Hosts(), Neighbours: s.Neighbors.Hosts(), Raft: o.Raft,
 		Incarnation: incarnation, Chats: s.Host.Chats, Seeds: s.SeedHosts(), Voters: 2*s.Replicas.Losses + 1,
-		SilentAfter: host.WorkerSilence(s.Gateway.Heartbeat), Requests: gatewaySettings(s), Relay: s.Gateway.Relay,
+		SilentAfter: host.WorkerTimeout(s.Gateway.Heartbeat), Requests: gatewaySettings(s), Relay: s.Gateway.Relay,
 		HubsAbove: s.Replicas.HubsAbove, InForce: min(s.Gateway.InForce, s.Gateway.Revoke),
 	}
 	if s.Seeded() {
-		hs.Raft = host.SeededRaft(o.Raft)
+		hs.Raft = host.SeededRaftOptions(o.Raft)
 	}
 	return hs
 }
@@ -135,7 +135,7 @@
 	if !d.settings.Seeded() || !state.Raft().Active() {
 		return true
 	}
-	return slices.ContainsFunc(state.ReplicaHosts(), func(h ident.Host) bool {
+	return slices.ContainsFunc(state.ReplicaAddresses(), func(h ident.Host) bool {
 		a, err := netip.ParseAddrPort(string(h))
 		return err == nil && a.Addr().Unmap() == ip
 	})
