--- a/core/host/admit.go
+++ b/core/host/admit.go
@@ -115,7 +115,7 @@
 	if a.RequestsPerSecond == 0 {
 		return Verdict{}, true
 	}
-	rate := a.RequestsPerSecond / float64(t.aliveServing())
+	rate := a.RequestsPerSecond / float64(t.countServingHosts())
 	use = use.refilled(rate, t.now)
 	if use.tokens < 1 {
 		wait := time.Duration((1 - use.tokens) / rate * float64(time.Second))
--- a/core/host/backoff.go
+++ b/core/host/backoff.go
@@ -39,7 +39,7 @@
 // targetsOf are the targets of the call's group, or of its service where it has none.
 func (t *transition) targetsOf(c call) []config.Target {
 	var out []config.Target
-	for _, p := range t.layout.services[c.service.ID] {
+	for _, p := range t.layout.groupsByService[c.service.ID] {
 		if c.group == (routing.GroupID{}) || p.id == c.group {
 			out = append(out, p.targets...)
 		}
--- a/core/host/call.go
+++ b/core/host/call.go
@@ -215,7 +215,7 @@
 		t.note(NoteFallback, c.group.String(), string(c.owner))
 		t.send(c.owner, ReleasePermit{Place: c.permit})
 		t.pickLocally(c)
-		t.suspect(c.owner)
+		t.suspectPeer(c.owner)
 	case c.phase == phaseQueued:
 		// The reply that a place is free may have been lost.
 		c.wake = earlier(c.req.Deadline, t.now.Add(queuedPoll))
--- a/core/host/capacity_test.go
+++ b/core/host/capacity_test.go
@@ -38,8 +38,8 @@
 	costs      []float64
 }
 
-// fit returns the cost per unit, the fixed cost, and the largest deviation of
-// a measured point from the line, as a share of that point.
+// fit returns the cost per unit, the fixed cost, and the largest deviation of a measured point
+// from the line, as a share of that point.
 func (s slope) fit() (per, fixed, deviation float64) {
 	n, sx, sy, sxx, sxy := float64(len(s.sizes)), 0.0, 0.0, 0.0, 0.0
 	for i, x := range s.sizes {
@@ -62,8 +62,8 @@
 	return s
 }
 
-// heapOf returns the heap that what make returns keeps alive.
-func heapOf(build func() any) float64 {
+// heapBytes returns the heap bytes kept alive by the value that build returns.
+func heapBytes(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -74,7 +74,7 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-func nanos(f func(b *testing.B)) float64 {
+func nanosecondsPerOp(f func(b *testing.B)) float64 {
 	r := testing.Benchmark(f)
 	return float64(r.T.Nanoseconds()) / float64(r.N)
 }
@@ -97,7 +97,7 @@
 	return out
 }
 
-func askOf(i int, now time.Time) routing.PermitRequest {
+func permitRequestFor(i int, now time.Time) routing.PermitRequest {
 	return routing.PermitRequest{
 		Permit: ident.PermitIDOf(ident.Request(fmt.Sprintf("h01-abc-%d", i)), 1), Router: "h01", Account: "account-1", Rank: 1, Model: model,
 		Key: hash.Of(fmt.Sprint("chat", i)), Deadline: now.Add(time.Minute), MaxWait: time.Minute,
@@ -113,7 +113,7 @@
 	bound := routing.Bound{Multiple: 1.5}
 	return []slope{
 		measureSlope("chat remembered by an owner", "heap bytes", []int{8000, 16000, 32000}, func(n int) float64 {
-			return heapOf(func() any {
+			return heapBytes(func() any {
 				d := routing.Directory{Bound: 4 * n}
 				for i := range n {
 					d = d.With(hash.Of(fmt.Sprint(i)), routing.ChatLocation{Target: "e001"})
@@ -124,7 +124,7 @@
 		measureSlope("target in the configuration of a host", "heap bytes", []int{600, 1200, 2400}, func(n int) float64 {
 			w := fleet(1, n)
 			doc := w.cfg.Document()
-			return heapOf(func() any { return bootWith(doc, now) })
+			return heapBytes(func() any { return hostWithConfig(doc, now) })
 		}),
 		measureSlope("host in the configuration of a host", "heap bytes", []int{65, 130, 390}, func(n int) float64 {
 			w := fleet(1, 6)
@@ -132,19 +132,19 @@
 				w.cfg = must(w.cfg, config.PutHost{Host: config.Host{ID: hostName(i), Zone: zone(i % 6), Address: "127.0.0.1:1", Serves: true}})
 			}
 			doc := w.cfg.Document()
-			return heapOf(func() any { return bootWith(doc, now) })
+			return heapBytes(func() any { return hostWithConfig(doc, now) })
 		}),
 		measureSlope("claim remembered by a replica", "heap bytes", []int{5000, 10000, 20000}, func(n int) float64 {
-			return heapOf(func() any { return claims(n) })
+			return heapBytes(func() any { return claims(n) })
 		}),
 		measureSlope("claim in a snapshot", "bytes", []int{2000, 4000, 8000}, func(n int) float64 {
 			return float64(len(claims(n).Encode()))
 		}),
 		measureSlope("engine in a group, per ask and release", "ns", []int{8, 16, 24}, func(n int) float64 {
 			g := routing.NewGroup(routing.GroupID{Service: service, Zone: "z0"}, now).WithEngines(specs(n), now)
-			return nanos(func(b *testing.B) {
+			return nanosecondsPerOp(func(b *testing.B) {
 				for i := 0; b.Loop(); i++ {
-					ask := askOf(i%1000, now)
+					ask := permitRequestFor(i%1000, now)
 					g, _ = g.Request(ask, bound, now)
 					g, _ = g.Release(ask.Permit, bound, now)
 				}
@@ -154,7 +154,7 @@
 			w := fleet(1, n)
 			w.run(w.now.Add(4 * time.Second))
 			s, at := w.hosts[0], w.now
-			return nanos(func(b *testing.B) {
+			return nanosecondsPerOp(func(b *testing.B) {
 				for i := 0; b.Loop(); i++ {
 					id := ident.Request(fmt.Sprintf("r%d", i))
 					s, _ = host.Reduce(s, host.Arrived{Request: host.Request{
@@ -168,7 +168,7 @@
 			w := fleet(n, 60)
 			w.run(w.now.Add(4 * time.Second))
 			s, at := w.hosts[0], w.now
-			return 20 * nanos(func(b *testing.B) {
+			return 20 * nanosecondsPerOp(func(b *testing.B) {
 				for b.Loop() {
 					at = at.Add(tickTime)
 					s, _ = host.Reduce(s, host.Tick{}, at)
@@ -191,8 +191,8 @@
 			return encodedSize(q) + encodedSize(a)
 		}),
 		measureSlope("engine of a pool, per request of the route table", "ns", []int{9, 63, 144}, func(n int) float64 {
-			s := gatewayWith(n, now)
-			return nanos(func(b *testing.B) {
+			s := requestsStateWith(n, now)
+			return nanosecondsPerOp(func(b *testing.B) {
 				for i := 0; b.Loop(); i++ {
 					id := ident.Request(fmt.Sprintf("r%d", i))
 					s, _ = requests.Reduce(s, requests.Arrived{Request: requests.Request{
@@ -219,7 +219,7 @@
 		measureSlope("target of the fleet, per change put in force", "ns", []int{300, 1200, 3600}, func(n int) float64 {
 			w := fleet(1, n)
 			s, at, version := w.hosts[0], w.now, w.cfg.Version
-			return nanos(func(b *testing.B) {
+			return nanosecondsPerOp(func(b *testing.B) {
 				for b.Loop() {
 					version++
 					s, _ = host.Reduce(s, host.Received{From: "state", Message: host.Changes{
@@ -230,7 +230,7 @@
 		}),
 		measureSlope("claim remembered, per claim applied", "ns", []int{5000, 10000, 20000}, func(n int) float64 {
 			c, i := claims(n), n
-			return nanos(func(b *testing.B) {
+			return nanosecondsPerOp(func(b *testing.B) {
 				for b.Loop() {
 					i++
 					c, _ = c.Apply(claimWrite(i))
@@ -260,8 +260,8 @@
 	return g
 }
 
-// gatewayWith is an entry host before a pool of n engines.
-func gatewayWith(n int, now time.Time) requests.State {
+// requestsStateWith returns the requests of an entry host with a pool of n engines.
+func requestsStateWith(n int, now time.Time) requests.State {
 	g := routeTable(100)
 	g.Routes = append(g.Routes, config.Route{
 		Host: "a.example", Prefix: "/x/", Kind: config.RouteStream, Timeout: config.Duration(time.Minute),
@@ -278,7 +278,7 @@
 	return s
 }
 
-func bootWith(doc config.Document, now time.Time) host.State {
+func hostWithConfig(doc config.Document, now time.Time) host.State {
 	s := host.New(host.Settings{ID: hostName(0), Zone: zone(0), Serves: true}, 1, now)
 	s, _ = host.Reduce(s, host.Received{From: "state", Message: host.WholeConfig{Leader: "state", Fresh: true, Document: doc}}, now)
 	return s
@@ -305,13 +305,13 @@
 	endMark   = "<!-- end of slopes -->\n"
 )
 
-// TestCapacitySlopes measures the slopes of docs/CAPACITY.md; with -capacity
-// it writes them into the page.
+// TestCapacitySlopes measures the slopes in docs/CAPACITY.md and, with -capacity, writes them
+// into the page.
 func TestCapacitySlopes(t *testing.T) {
 	if *writeCapacity == "" {
 		// The costs' shape is checked at small sizes; times are not asserted.
 		n := 4000
-		per := heapOf(func() any { return claims(n) }) / float64(n)
+		per := heapBytes(func() any { return claims(n) }) / float64(n)
 		require.Less(t, per, 2000.0, "heap bytes of a claim")
 		return
 	}
--- a/core/host/clients.go
+++ b/core/host/clients.go
@@ -77,10 +77,10 @@
 		t.seeded.clients = t.seeded.clients.Without(from)
 		return
 	}
-	t.grantLease(from, m)
+	t.recordLease(from, m)
 	t.grantZonesLease(from, m)
 	t.relayedHeartbeats(from, m.Beats)
-	t.replacedReceived(from, m.Replaced)
+	t.applyReplacements(from, m.Replaced)
 	t.takeCrashEntries(from, m.CrashEntries)
 	t.crashesReceived(from, m.Crashes)
 	t.replyTo(from, t.clientOf(from, m), m)
@@ -132,7 +132,7 @@
 	}
 	for _, w := range workers {
 		if reason := t.invalidReason(w); reason != "" {
-			t.heartbeatInvalid(w.ID, reason+", by "+string(from))
+			t.rejectHeartbeat(w.ID, reason+", by "+string(from))
 		} else if t.registry.HasRoom(w.ID) {
 			t.registerHeartbeat(w)
 		}
@@ -162,7 +162,7 @@
 		r = t.hubReply(r, m)
 	}
 	if r.Summed {
-		r.Loads = t.sumLoads().others(to, t.seeded.hub.outsideLoads)
+		r.Loads = t.sumLoads().excluding(to, t.seeded.hub.outsideLoads)
 	}
 	r.Neighbour = c.fallback
 	if m.Lead {
@@ -183,7 +183,7 @@
 
 // replicaReply adds to a reply what only a replica knows.
 func (t *transition) replicaReply(r PollReply, m Poll) PollReply {
-	r.Leader, r.Hosts = t.raft.Leader().Address(), t.sumLoads().serving
+	r.Leader, r.Hosts = t.raft.Leader().Address(), t.sumLoads().entryHosts
 	if m.Lead {
 		r.Fresh = t.raft.LeaseHeld(t.now)
 		r.Replicas = t.memberAddresses()
--- a/core/host/crashes_test.go
+++ b/core/host/crashes_test.go
@@ -145,9 +145,9 @@
 func TestHostThatWasCutOffLearnsOfARefusal(t *testing.T) {
 	for _, cut := range []ident.Host{entryName(2), replicaName(0)} {
 		f := newCrashFleet(t, 6, 24, 5)
-		f.cutOff(cut, true)
+		f.partition(cut, true)
 		f.load(8*time.Second, 400*time.Millisecond, badRequest)
-		f.cutOff(cut, false)
+		f.partition(cut, false)
 		f.pass(contact)
 		require.NotZero(t, f.states[cut].Requests().CrashList().Len())
 		sent := len(f.sent[badRequest])
@@ -192,7 +192,7 @@
 // entry hosts: those that know of the request refuse it, and all others are served by both.
 func TestTwoVersionsRefuseWhatTheyCan(t *testing.T) {
 	f := newCrashFleet(t, 6, 24, 7)
-	f.older = map[ident.Host]bool{replicaName(2): true, entryName(0): true, entryName(1): true, entryName(2): true}
+	f.earlierHosts = map[ident.Host]bool{replicaName(2): true, entryName(0): true, entryName(1): true, entryName(2): true}
 	f.load(8*time.Second, 400*time.Millisecond, badRequest)
 	f.pass(time.Second)
 	for i := range 6 {
@@ -255,7 +255,7 @@
 		f.arrive(entryName(i%3), fmt.Sprint("/x/", i))
 	}
 	release := f.now.Add(6 * time.Second)
-	f.hold = func(p seededPacket) time.Duration {
+	f.delay = func(p seededPacket) time.Duration {
 		if _, isPoll := p.message.(host.Poll); isPoll {
 			return release.Sub(f.now)
 		}
--- a/core/host/crashfleet_test.go
+++ b/core/host/crashfleet_test.go
@@ -83,13 +83,13 @@
 		paths: map[ident.Request]string{}, ends: map[string][]time.Time{}, sent: map[string][]time.Time{},
 		refusedAt: map[string][]time.Time{}, arrived: map[string]int{},
 	}
-	f.decision = f.decide
+	f.onDecision = f.decide
 	f.run(8 * time.Second)
-	require.True(t, f.put(f.leader(), f.table(1, "k"), 3*time.Second))
+	require.True(t, f.putTable(f.leader(), f.table(1, "k"), 3*time.Second))
 	for i := range workers {
 		f.workers = append(f.workers, &crashWorker{worker: registry.Worker{
 			ID: ident.Target(fmt.Sprintf("w%d", i)), Pool: "pool", Zone: ident.Zone(fmt.Sprint("z", i%3)),
-			Address: fmt.Sprintf("10.9.9.%d:80", i+1), Slots: 16, Born: bornFirst,
+			Address: fmt.Sprintf("10.9.9.%d:80", i+1), Slots: 16, Born: firstIncarnation,
 		}})
 	}
 	f.pass(2 * time.Second)
@@ -147,7 +147,7 @@
 
 func (f *crashFleet) startAgain(w *crashWorker) {
 	w.backAt, w.beatAt, w.starts, w.worker.Seq = time.Time{}, f.now, w.starts+1, 0
-	w.worker.Born = bornFirst + registry.Incarnation(f.now.Unix())
+	w.worker.Born = firstIncarnation + registry.Incarnation(f.now.Unix())
 	if !f.sameID {
 		w.worker.ID = ident.Target(fmt.Sprintf("%s-%d", w.worker.ID[:2], w.starts))
 	}
--- a/core/host/drain.go
+++ b/core/host/drain.go
@@ -13,7 +13,7 @@
 	t.note(NoteDrain, string(t.settings.ID), "")
 	if !t.settings.Seeded() {
 		t.sendHeartbeats()
-		t.ownersChanged()
+		t.updateOwners()
 	}
 	t.stepRaft(raft.HandOver{})
 }
--- a/core/host/drawfault_test.go
+++ b/core/host/drawfault_test.go
@@ -22,7 +22,7 @@
 	case 1:
 		delete(slow, id)
 	case 2:
-		f.cutOff(id, r.IntN(2) == 0)
+		f.partition(id, r.IntN(2) == 0)
 	case 3:
 		f.stop(id)
 	case 4:
@@ -38,9 +38,9 @@
 		return
 	}
 	if faults.cut {
-		f.cutOff(leader, true)
+		f.partition(leader, true)
 		f.run(2 * time.Second)
-		f.cutOff(leader, false)
+		f.partition(leader, false)
 	}
 	if faults.stop {
 		f.stop(leader)
--- a/core/host/earlier_test.go
+++ b/core/host/earlier_test.go
@@ -14,11 +14,11 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// delayed keeps the messages from one host, or to it, on their way until they are
-// delivered by hand.
-func (f *seededFleet) delayed(from, to ident.Host) *[]seededPacket {
+// captureMessages keeps the messages from one host, or to one, in transit and returns them for
+// delivery by the test. An empty name matches any host.
+func (f *seededFleet) captureMessages(from, to ident.Host) *[]seededPacket {
 	kept := &[]seededPacket{}
-	f.hold = func(p seededPacket) time.Duration {
+	f.delay = func(p seededPacket) time.Duration {
 		if (from == "" || p.from == from) && (to == "" || p.to == to) {
 			*kept = append(*kept, p)
 			return time.Hour
@@ -28,51 +28,50 @@
 	return kept
 }
 
-// TestLateAnswerToAnEarlierProcessConfirmsNothing restarts an entry host while answers
-// to it are under way that call table 1 the newest. The process that starts then asks
-// questions of its own, and by their numbers must not take the late answers for answers
-// to these: it would serve by table 1 as if that had been confirmed just now.
-func TestLateAnswerToAnEarlierProcessConfirmsNothing(t *testing.T) {
+// TestLateReplyToEarlierProcessConfirmsNothing restarts an entry host while replies that
+// confirm table 1 are in transit. The new process must not match them to its own polls, or it
+// would serve by an outdated table.
+func TestLateReplyToEarlierProcessConfirmsNothing(t *testing.T) {
 	f := newSeededFleet(t, 3, 2)
 	f.run(5 * time.Second)
-	require.True(t, f.put(f.leader(), f.table(1, "old"), time.Second))
-	f.beat(replicaName(1), "w1", registry.Ready, 1)
+	require.True(t, f.putTable(f.leader(), f.table(1, "old"), time.Second))
+	f.sendHeartbeat(replicaName(1), "w1", registry.Ready, 1)
 	f.run(time.Second)
 	f.stop(entryName(0))
 	f.start(entryName(0))
-	late := f.delayed("", entryName(0))
+	late := f.captureMessages("", entryName(0))
 	f.run(4 * time.Second)
 	f.stop(entryName(0))
 	f.start(entryName(0))
 	require.NotEmpty(t, *late)
 	kept := *late
-	f.runUntilAcked(t, f.submit(f.leader(), f.table(2, "new")), 5*time.Second)
+	f.runUntilAcked(t, f.submitTable(f.leader(), f.table(2, "new")), 5*time.Second)
 	for range 80 {
 		f.run(seededStep)
 		for _, p := range kept {
 			f.reduce(p.to, host.Received{From: p.from, Message: p.message})
 		}
-		_, served := f.ask(entryName(0), "/x/1", "old").(requests.Dispatch)
+		_, served := f.sendRequest(entryName(0), "/x/1", "old").(requests.Dispatch)
 		require.False(t, served, "by an answer to the process before")
 	}
 }
 
-// TestLateWordOfAnEarlierProcessIsPassedOver restarts an entry host while its questions
-// are under way, and lets them arrive after those of the next process: what a replica
-// knows of the host stays what the later one said.
-func TestLateWordOfAnEarlierProcessIsPassedOver(t *testing.T) {
+// TestLatePollOfEarlierProcessIsIgnored restarts an entry host while its polls are in transit.
+// When they arrive after polls of the new process, they must not change what a replica knows of
+// the host.
+func TestLatePollOfEarlierProcessIsIgnored(t *testing.T) {
 	f := newSeededFleet(t, 3, 2)
 	f.run(5 * time.Second)
-	late := f.delayed(entryName(0), "")
+	late := f.captureMessages(entryName(0), "")
 	f.run(time.Second)
 	kept := *late
 	require.NotEmpty(t, kept)
 	f.stop(entryName(0))
-	f.hold = nil
+	f.delay = nil
 	f.start(entryName(0))
-	require.True(t, f.put(f.leader(), f.table(1, "k"), 3*time.Second))
+	require.True(t, f.putTable(f.leader(), f.table(1, "k"), 3*time.Second))
 	f.run(time.Second)
-	f.seen = func(p seededPacket) {
+	f.onDeliver = func(p seededPacket) {
 		a, ok := p.message.(host.PollReply)
 		if ok && p.to == entryName(0) {
 			require.Empty(t, a.Gateway, "a table that the present process holds")
--- a/core/host/fallback.go
+++ b/core/host/fallback.go
@@ -10,44 +10,41 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// An entry host that has had no confirmation for a while polls two other entry hosts, its
-// fallback peers, in turn: it may be cut off from every replica and still reach hosts that
-// are not. They reply as hubs do, with the age of their confirmation, so that keys that
-// were taken away stop in time whatever way a confirmation took; hosts that are cut off
-// together find that out as their confirmations grow old.
-//
-// Inputs: the age of the confirmation held, the list of fallback peers that a leader sent,
-// or the list of hubs. Measured on a simulated day of cuts, four seeds: 369 to 588 requests
-// refused without it, none with it.
+// An entry host that has had no confirmation for fallbackAfter polls other entry hosts, its
+// fallback peers, two at a time in turn: it may be partitioned from all replicas and still
+// reach hosts that are not. They reply like hubs, with the age of their confirmation. A
+// confirmation keeps its age whichever path it took, so revoked keys stop working in time, and
+// hosts that are partitioned together see their confirmations expire.
 const (
-	// fallbackAfter is the age of the confirmation from which fallback peers are polled:
-	// more than three polls of a small fleet take, and early enough for two replies
-	// before the host would say that it is not ready.
+	// fallbackAfter is the age of a confirmation from which fallback peers are polled: more
+	// than three polls of a small fleet take, and early enough for two replies before the host
+	// would become unready.
 	fallbackAfter = time.Second
-	// fallbackPeersPolled is how many are polled at a time, as one may be cut off, too.
+	// fallbackPeersPolled is how many peers are polled at a time, since one may be partitioned
+	// too.
 	fallbackPeersPolled = 2
 )
 
-// fallbackState is what a host knows of its fallback peers; on a replica it is the list
-// that it sends.
+// fallbackState holds the fallback peers of a host; on a replica, the list that it sends to
+// others.
 type fallbackState struct {
 	list hubs.List
-	// nextPeer counts the polls, which go to one peer after the other.
+	// nextPeer counts polls, to take the peers in turn.
 	nextPeer int
 }
 
-// nameFallbackPeers picks the entry hosts that others may poll, on a replica that has had
-// the time to know all. Large fleets have hubs for that: there the list would change with
-// each host that comes, and fill replicas' links.
-func (t *transition) nameFallbackPeers(hosts []hubs.Host) {
+// selectFallbackPeers selects the entry hosts that others may poll, once this replica has run
+// long enough to know all hosts. Large fleets use hubs instead: their list would change with
+// each new host and fill the replicas' links.
+func (t *transition) selectFallbackPeers(hosts []hubs.Host) {
 	t.seeded.fallback.list = hubs.List{}
-	if t.seeded.hub.list.Len() == 0 && len(hosts) <= t.hubsAbove() && t.now.Sub(t.started) >= hubWarmUp {
+	if t.seeded.hub.list.Len() == 0 && len(hosts) <= t.hubThreshold() && t.now.Sub(t.started) >= hubWarmUp {
 		t.seeded.fallback.list = hubs.FallbackPeers(hosts)
 	}
 }
 
-// withFallbackPeers adds the list to a leader's reply where the client holds another one.
-// Other replicas may know only few hosts while these turn to hubs.
+// withFallbackPeers adds the list to a leader's reply if the client holds a different one.
+// Other replicas may know only a few hosts while a fleet switches to hubs.
 func (t *transition) withFallbackPeers(r PollReply, m Poll) PollReply {
 	if !t.settings.IsReplica() || !r.Fresh {
 		return r
@@ -60,8 +57,8 @@
 	return r
 }
 
-// takeFallbackPeers keeps the list in a leader's reply.
-func (t *transition) takeFallbackPeers(m PollReply) {
+// applyFallbackPeers stores the list in a leader's reply.
+func (t *transition) applyFallbackPeers(m PollReply) {
 	held := t.seeded.fallback.list.Key
 	if m.NeighbourList == 0 || m.NeighbourList == held || len(m.Neighbours) == 0 {
 		return
@@ -69,7 +66,7 @@
 	t.seeded.fallback.list = hubs.List{Hosts: m.Neighbours, Key: m.NeighbourList}
 }
 
-// fallbackPeersToPoll are the entry hosts to poll now; none while confirmations come.
+// fallbackPeersToPoll returns the entry hosts to poll now, none while confirmations arrive.
 func (t *transition) fallbackPeersToPoll() []ident.Host {
 	confirmed := t.requests.Confirmed()
 	if confirmed.Never() || confirmed.Age(t.now) < fallbackAfter || t.pollsHubs() {
@@ -88,7 +85,7 @@
 	return out
 }
 
-// fallbackPoll polls an entry host in place of replicas.
+// fallbackPoll returns a poll of a fallback peer.
 func (t *transition) fallbackPoll(to ident.Host) Poll {
 	c, _ := t.seeded.contacts.Get(to)
 	return Poll{
@@ -99,19 +96,20 @@
 	}
 }
 
-// fallbackReplied takes the reply of a fallback peer. Whom this host polls for
-// confirmations otherwise stays as it is.
-func (t *transition) fallbackReplied(from ident.Host, m PollReply) {
-	// It is no way to the replicas: heartbeats for them cannot be left with it.
+// handleFallbackReply applies the reply of a fallback peer. It leaves the leader contact
+// unchanged.
+func (t *transition) handleFallbackReply(from ident.Host, m PollReply) {
+	// A fallback peer does not forward heartbeats to the replicas, so its replies must not
+	// count as contact with them.
 	m.Cut = true
-	t.noteReply(from, m)
-	t.takeRegistrations(from, m)
+	t.recordReply(from, m)
+	t.applyRegistrations(from, m)
 	t.takeCrashEntries(from, m.CrashEntries)
-	t.takeTable(m)
+	t.applyTable(m)
 	t.takeZones(from, m.Zones)
-	t.noteNewestTable(m.Version)
-	sent, known := t.takeRound(m.Round)
+	t.recordNewestVersion(m.Version)
+	sent, known := t.popPendingPoll(m.Round)
 	if known && m.Fresh {
-		t.takeConfirmation(m, sent)
+		t.applyConfirmation(m, sent)
 	}
 }
--- a/core/host/fallback_test.go
+++ b/core/host/fallback_test.go
@@ -15,88 +15,88 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// cutFromReplicas cuts an entry host off from all replicas, and from nothing else.
-func (f *seededFleet) cutFromReplicas(id ident.Host, off bool) {
+// partitionFromReplicas blocks or unblocks the links between an entry host and all replicas.
+func (f *seededFleet) partitionFromReplicas(id ident.Host, off bool) {
 	for replica := range f.disks {
-		f.cut[[2]ident.Host{id, replica}] = off
-		f.cut[[2]ident.Host{replica, id}] = off
+		f.blocked[[2]ident.Host{id, replica}] = off
+		f.blocked[[2]ident.Host{replica, id}] = off
 	}
 }
 
-// newServingFleet has three replicas, some entry hosts, a table and a worker.
+// newServingFleet returns a fleet of three replicas and some entry hosts, with a table and a
+// worker.
 func newServingFleet(t *testing.T, entries int) *seededFleet {
 	f := newSeededFleet(t, 3, entries)
 	f.run(5 * time.Second)
-	require.True(t, f.put(f.leader(), f.table(1, "k", "l"), time.Second))
-	f.beat(replicaName(0), "w1", registry.Ready, 1)
+	require.True(t, f.putTable(f.leader(), f.table(1, "k", "l"), time.Second))
+	f.sendHeartbeat(replicaName(0), "w1", registry.Ready, 1)
 	f.run(time.Second)
 	return f
 }
 
-// TestHostCutOffFromReplicasGoesOnByItsNeighbours cuts an entry host off from all
-// replicas for far longer than its lease: it stays ready, follows changes of the table
-// and of workers, and serves no key that was taken away. Nor do others ask it anything
-// once it hears replicas again.
-func TestHostCutOffFromReplicasGoesOnByItsNeighbours(t *testing.T) {
+// TestHostCutOffFromReplicasServesByFallbackPeers partitions an entry host from all replicas
+// for longer than its lease. It must stay ready, follow changes of table and workers, refuse
+// revoked keys, and stop polling fallback peers once reconnected.
+func TestHostCutOffFromReplicasServesByFallbackPeers(t *testing.T) {
 	f := newServingFleet(t, 5)
-	f.cutFromReplicas(entryName(0), true)
+	f.partitionFromReplicas(entryName(0), true)
 	f.run(3 * requests.DefaultKeyLease)
 	require.True(t, f.states[entryName(0)].Ready())
-	require.IsType(t, requests.Dispatch{}, f.ask(entryName(0), "/x/1", "k"))
-	id := f.commit(f.leader(), f.table(2, "l"))
-	f.beat(replicaName(1), "w2", registry.Ready, 1)
-	f.beat(replicaName(0), "w1", registry.Draining, 2)
+	require.IsType(t, requests.Dispatch{}, f.sendRequest(entryName(0), "/x/1", "k"))
+	id := f.commitTable(f.leader(), f.table(2, "l"))
+	f.sendHeartbeat(replicaName(1), "w2", registry.Ready, 1)
+	f.sendHeartbeat(replicaName(0), "w1", registry.Draining, 2)
 	f.run(2 * time.Second)
-	require.True(t, f.acked(id))
-	require.Equal(t, requests.CodeBadKey, codeOf(t, f.ask(entryName(0), "/x/1", "k")))
-	sent, ok := f.ask(entryName(0), "/x/1", "l").(requests.Dispatch)
+	require.True(t, f.isAcknowledged(id))
+	require.Equal(t, requests.CodeBadKey, codeOf(t, f.sendRequest(entryName(0), "/x/1", "k")))
+	sent, ok := f.sendRequest(entryName(0), "/x/1", "l").(requests.Dispatch)
 	require.True(t, ok)
 	require.EqualValues(t, "w2", sent.Worker.ID)
-	f.cutFromReplicas(entryName(0), false)
+	f.partitionFromReplicas(entryName(0), false)
 	f.run(2 * time.Second)
-	asked := false
-	f.seen = func(p seededPacket) {
+	polledPeer := false
+	f.onDeliver = func(p seededPacket) {
 		if s, ok := p.message.(host.Poll); ok && s.Neighbour {
-			asked = true
+			polledPeer = true
 		}
 	}
 	f.run(2 * time.Second)
-	require.False(t, asked)
+	require.False(t, polledPeer)
 }
 
-// TestHostsCutOffTogetherStopInTime cuts all entry hosts off from the replicas, but
-// not from each other: they cannot keep a lease alive among themselves.
+// TestHostsCutOffTogetherStopInTime partitions all entry hosts from the replicas, but not from
+// each other. They must not renew each other's leases.
 func TestHostsCutOffTogetherStopInTime(t *testing.T) {
 	f := newServingFleet(t, 5)
 	for i := range 5 {
-		f.cutFromReplicas(entryName(i), true)
+		f.partitionFromReplicas(entryName(i), true)
 	}
 	f.run(requests.DefaultKeyLease)
 	for i := range 5 {
-		require.Equal(t, requests.CodeStale, codeOf(t, f.ask(entryName(i), "/x/1", "k")))
+		require.Equal(t, requests.CodeStale, codeOf(t, f.sendRequest(entryName(i), "/x/1", "k")))
 	}
 }
 
-// TestKeysStopInTimeWhateverWayTheWordGoes draws cuts between all hosts, messages that
-// are held up, and restarts of entry hosts, while a key is taken away: nobody serves it
-// a lease after that, by whatever hosts it heard of its table.
-func TestKeysStopInTimeWhateverWayTheWordGoes(t *testing.T) {
+// TestRevokedKeysStopInTimeUnderDrawnFaults draws blocked links and delayed messages while a
+// key is revoked. No host may accept the key once the lease has passed, whichever hosts
+// forwarded its confirmation.
+func TestRevokedKeysStopInTimeUnderDrawnFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newServingFleet(t, 4)
-		disturb := func() {
+		injectFaults := func() {
 			for range rapid.IntRange(0, 3).Draw(rt, "changes") {
 				a := f.order[rapid.IntRange(0, len(f.order)-1).Draw(rt, "a")]
 				b := f.order[rapid.IntRange(0, len(f.order)-1).Draw(rt, "b")]
 				off := rapid.Bool().Draw(rt, "off")
-				f.cut[[2]ident.Host{a, b}] = off
-				f.cut[[2]ident.Host{b, a}] = off && rapid.Bool().Draw(rt, "both ways")
+				f.blocked[[2]ident.Host{a, b}] = off
+				f.blocked[[2]ident.Host{b, a}] = off && rapid.Bool().Draw(rt, "both ways")
 			}
 			if rapid.IntRange(0, 5).Draw(rt, "all") == 0 {
-				f.cutFromReplicas(entryName(rapid.IntRange(0, 3).Draw(rt, "entry")), true)
+				f.partitionFromReplicas(entryName(rapid.IntRange(0, 3).Draw(rt, "entry")), true)
 			}
 			slow := rapid.IntRange(0, 4).Draw(rt, "slow host")
 			delay := time.Duration(rapid.IntRange(0, 3000).Draw(rt, "ms")) * time.Millisecond
-			f.hold = func(p seededPacket) time.Duration {
+			f.delay = func(p seededPacket) time.Duration {
 				if p.from == entryName(slow) {
 					return delay
 				}
@@ -105,22 +105,22 @@
 			f.run(time.Duration(rapid.IntRange(1, 30).Draw(rt, "steps")) * seededStep)
 		}
 		for range rapid.IntRange(0, 4).Draw(rt, "before") {
-			disturb()
+			injectFaults()
 		}
-		f.cut = map[[2]ident.Host]bool{}
-		f.hold = nil
+		f.blocked = map[[2]ident.Host]bool{}
+		f.delay = nil
 		taken := false
 		for range 8 {
 			f.run(500 * time.Millisecond)
-			taken = taken || f.leader() != "" && f.put(f.leader(), f.table(2, "l"), time.Second)
+			taken = taken || f.leader() != "" && f.putTable(f.leader(), f.table(2, "l"), time.Second)
 		}
 		require.True(rt, taken, "the table cannot be changed though all cuts are over")
 		since := f.now
 		for f.now.Sub(since) < requests.DefaultKeyLease {
-			disturb()
+			injectFaults()
 		}
 		for i := range 4 {
-			_, served := f.ask(entryName(i), "/x/1", "k").(requests.Dispatch)
+			_, served := f.sendRequest(entryName(i), "/x/1", "k").(requests.Dispatch)
 			if served {
 				rt.Fatalf("entry %d serves a key %s after it was taken away", i, f.now.Sub(since))
 			}
@@ -128,55 +128,54 @@
 	})
 }
 
-// TestHostCutOffFromReplicasAcknowledgesNoHeartbeat has a host that goes on by its
-// neighbours hear a worker: no replica would hear of it.
+// TestHostCutOffFromReplicasAcknowledgesNoHeartbeat guards against a host that serves by
+// fallback peers accepting a heartbeat, which it could not forward to a replica.
 func TestHostCutOffFromReplicasAcknowledgesNoHeartbeat(t *testing.T) {
 	f := newServingFleet(t, 5)
-	f.cutFromReplicas(entryName(0), true)
+	f.partitionFromReplicas(entryName(0), true)
 	f.run(2 * requests.DefaultKeyLease)
 	require.True(t, f.states[entryName(0)].Ready())
-	f.beats = nil
-	f.beat(entryName(0), "w1", registry.Ready, 9)
-	require.False(t, f.beats[0].Taken)
+	f.heartbeatAnswers = nil
+	f.sendHeartbeat(entryName(0), "w1", registry.Ready, 9)
+	require.False(t, f.heartbeatAnswers[0].Taken)
 }
 
-// TestLargeFleetsAreToldOfHubsOnly starts a large fleet: nobody is told of neighbours,
-// whose list would change with each host that comes. A hub that hears no replica asks
-// other hubs.
-func TestLargeFleetsAreToldOfHubsOnly(t *testing.T) {
+// TestLargeFleetsGetNoFallbackPeers guards against lists of fallback peers being sent in a
+// large fleet, where they would change with each new host. A hub without replicas must poll
+// other hubs instead.
+func TestLargeFleetsGetNoFallbackPeers(t *testing.T) {
 	f := newSeededFleet(t, 3, largeFleet)
-	told := 0
-	f.seen = func(p seededPacket) {
+	lists := 0
+	f.onDeliver = func(p seededPacket) {
 		if m, ok := p.message.(host.PollReply); ok && len(m.Neighbours) > 0 {
-			told++
+			lists++
 		}
 	}
 	f.run(8 * time.Second)
-	require.Zero(t, told)
-	require.True(t, f.put(f.leader(), f.table(1, "k"), time.Second))
+	require.Zero(t, lists)
+	require.True(t, f.putTable(f.leader(), f.table(1, "k"), time.Second))
 	f.run(2 * time.Second)
 	hub := f.anyHub(t)
-	f.cutFromReplicas(hub, true)
+	f.partitionFromReplicas(hub, true)
 	f.run(2 * requests.DefaultKeyLease)
 	require.True(t, f.states[hub].Ready())
 }
 
-// TestChangesAreTakenSoonAfterALeaderWasHeardByNobody cuts the leader's words off, but
-// not those to it, until it has stepped down and nobody leads. The drawn test above found
-// this case: it asked for a change without letting time pass, where no leader stood.
-func TestChangesAreTakenSoonAfterALeaderWasHeardByNobody(t *testing.T) {
+// TestChangesAreAcceptedSoonAfterALeaderCannotSend blocks messages from the leader, but not to
+// it. It must step down, and a change must be accepted soon after the links are restored.
+func TestChangesAreAcceptedSoonAfterALeaderCannotSend(t *testing.T) {
 	f := newServingFleet(t, 4)
 	led := f.leader()
 	for replica := range f.disks {
-		f.cut[[2]ident.Host{led, replica}] = replica != led
+		f.blocked[[2]ident.Host{led, replica}] = replica != led
 	}
 	cut := f.now
 	for f.leader() != "" {
 		f.run(seededStep)
 		require.Less(t, f.now.Sub(cut), 3*time.Second, "a leader that nobody hears keeps its lease")
 	}
-	clear(f.cut)
+	clear(f.blocked)
 	f.run(500 * time.Millisecond)
 	require.NotEmpty(t, f.leader())
-	require.True(t, f.put(f.leader(), f.table(2, "l"), time.Second))
+	require.True(t, f.putTable(f.leader(), f.table(2, "l"), time.Second))
 }
--- a/core/host/follow.go
+++ b/core/host/follow.go
@@ -14,27 +14,26 @@
 )
 
 const (
-	// followInterval is the time between two requests for configuration. Chosen, not
-	// measured.
+	// followInterval is the time between two requests for configuration.
 	followInterval = time.Second
-	// followerLife is how long a replica pushes changes to a host that follows it: five
-	// requests.
-	followerLife = 5 * time.Second
-	// maxDeltas bounds the changes in one message. Chosen, not measured.
+	// followerTimeout is how long after its last request a replica pushes changes to a
+	// follower: five request intervals.
+	followerTimeout = 5 * time.Second
+	// maxDeltas bounds the changes in one message.
 	maxDeltas = 128
-	// cutOffBoot is how long a host without configuration waits for a leader
-	// before it takes the highest version that its zone has. Chosen, not measured.
-	cutOffBoot = 8 * time.Second
+	// leaderWaitTimeout is how long a starting host waits for a leader before it serves with
+	// the newest configuration available in its zone.
+	leaderWaitTimeout = 8 * time.Second
 )
 
-// follower is a host that follows this replica.
+// follower is a host that replicates its configuration from this replica.
 type follower struct {
 	version    config.Version
 	lastFollow time.Time
 }
 
-// tickFollow asks for configuration. A replica has its own, but it too is
-// ready only once a leader is known.
+// tickFollow requests configuration. A replica has its own, but it too becomes ready only once
+// a leader is known.
 func (t *transition) tickFollow() {
 	if t.raft.Active() {
 		t.tickReplicaReady()
@@ -44,50 +43,50 @@
 	}
 	t.followAt = t.now.Add(followInterval)
 	if t.raft.Active() {
-		t.enterSelf()
+		t.registerSelf()
 		return
 	}
 	t.follows++
 	m := Follow{Host: t.selfHost(), Version: t.config.Version}
-	if to, ok := t.followTarget(); ok {
+	if to, ok := t.followSource(); ok {
 		t.send(to, m)
 	}
-	if t.ready || t.now.Sub(t.started) < cutOffBoot {
+	if t.ready || t.now.Sub(t.started) < leaderWaitTimeout {
 		return
 	}
-	for _, h := range t.zoneHosts() {
+	for _, h := range t.neighboursInZone() {
 		t.send(h.ID, m)
 	}
 }
 
-// tickReplicaReady makes a replica ready when it holds a configuration and is
-// in touch with a leader, or has waited long enough to serve cut off.
+// tickReplicaReady makes a replica ready once it holds a configuration and knows a leader, or
+// has waited long enough to serve while partitioned.
 func (t *transition) tickReplicaReady() {
 	if t.ready || t.config.Version == 0 {
 		return
 	}
-	if t.raft.Leader() != "" && t.entered() || t.now.Sub(t.started) >= cutOffBoot {
+	if t.raft.Leader() != "" && t.isRegistered() || t.now.Sub(t.started) >= leaderWaitTimeout {
 		t.becomeReady("replicated state")
 	}
 }
 
-// enterSelf makes a replica known to the leader as a host like any other.
-func (t *transition) enterSelf() {
+// registerSelf registers this replica with the leader as a host.
+func (t *transition) registerSelf() {
 	self := t.selfHost()
-	have, _ := t.config.Hosts.Get(self.ID)
-	self.Rev = have.Rev
-	if leader := t.raft.Leader(); leader != "" && have != self {
+	registered, _ := t.config.Hosts.Get(self.ID)
+	self.Rev = registered.Rev
+	if leader := t.raft.Leader(); leader != "" && registered != self {
 		t.send(leader, Follow{Host: t.selfHost(), Version: t.config.Version})
 	}
 }
 
-// entered tells whether this host stands in the configuration: before that no
-// group could have it for its owner.
-func (t *transition) entered() bool { return t.config.Hosts.Has(t.settings.ID) }
+// isRegistered reports whether this host is in the configuration. Before that it cannot own a
+// group.
+func (t *transition) isRegistered() bool { return t.config.Hosts.Has(t.settings.ID) }
 
-func (t *transition) becomeReady(how string) {
+func (t *transition) becomeReady(source string) {
 	t.ready = true
-	t.note(NoteReady, string(t.settings.ID), fmt.Sprintf("version=%d from %s", t.config.Version, how))
+	t.note(NoteReady, string(t.settings.ID), fmt.Sprintf("version=%d from %s", t.config.Version, source))
 }
 
 func (t *transition) selfHost() config.Host {
@@ -95,10 +94,9 @@
 	return config.Host{ID: s.ID, Zone: s.Zone, Address: s.Address, Serves: s.Serves}
 }
 
-// followTarget picks the replica to ask: always the same one, so that the load
-// spreads; another one while that is silent, and in turn before the
-// first configuration.
-func (t *transition) followTarget() (ident.Host, bool) {
+// followSource picks the replica to request configuration from. A ready host always picks the
+// same live one by rendezvous hash, which spreads the load; otherwise replicas take turns.
+func (t *transition) followSource() (ident.Host, bool) {
 	replicas := t.settings.Replicas
 	if len(replicas) == 0 {
 		return "", false
@@ -118,15 +116,15 @@
 	return hash.Best(hash.Of(string(t.settings.ID)), alive, func(h ident.Host) string { return string(h) })
 }
 
-func (t *transition) zoneHosts() []config.Host {
+func (t *transition) neighboursInZone() []config.Host {
 	return slices.DeleteFunc(slices.Clone(t.settings.Neighbours), func(h config.Host) bool {
 		return h.Zone != t.settings.Zone || h.ID == t.settings.ID
 	})
 }
 
-// followReceived answers a host that asks for configuration. A leader also enters a
-// host that is new or has moved.
-func (t *transition) followReceived(from ident.Host, m Follow) {
+// handleFollow replies to a host that requests configuration. A leader also registers a host
+// that is new or has changed.
+func (t *transition) handleFollow(from ident.Host, m Follow) {
 	if t.raft.Active() {
 		t.followers = t.followers.With(from, follower{version: m.Version, lastFollow: t.now})
 		t.registerHost(from, m.Host)
@@ -138,9 +136,9 @@
 	if h.ID != from || !t.raft.LeaseHeld(t.now) {
 		return
 	}
-	have, ok := t.catalog.Config.Hosts.Get(h.ID)
-	h.Rev = have.Rev
-	if ok && have == h {
+	registered, known := t.catalog.Config.Hosts.Get(h.ID)
+	h.Rev = registered.Rev
+	if known && registered == h {
 		return
 	}
 	t.writeSeq++
@@ -150,8 +148,9 @@
 	}, t.now.Add(claimTimeout))
 }
 
-// sendChanges answers with what came after version. Hosts that keep no log
-// answer from what they follow, so that a cut-off zone can help itself.
+// sendChanges sends the changes after version, or the whole document if the changes are not
+// available. Hosts without a log send the configuration they follow, so that the hosts of a
+// partitioned zone can start from each other.
 func (t *transition) sendChanges(to ident.Host, version config.Version) {
 	fresh := t.raft.LeaseHeld(t.now)
 	leader := t.leaderHint()
@@ -168,10 +167,10 @@
 	t.send(to, WholeConfig{Leader: leader, Fresh: fresh, Document: t.config.Document()})
 }
 
-// pushChanges sends new changes at once to the hosts that follow this replica.
+// pushChanges sends new changes to the followers of this replica.
 func (t *transition) pushChanges() {
 	for id, f := range t.followers.All() {
-		if t.now.Sub(f.lastFollow) > followerLife {
+		if t.now.Sub(f.lastFollow) > followerTimeout {
 			t.followers = t.followers.Without(id)
 			continue
 		}
@@ -181,11 +180,11 @@
 	}
 }
 
-func (t *transition) changesReceived(from ident.Host, m Changes) {
+func (t *transition) handleChanges(from ident.Host, m Changes) {
 	if t.raft.Active() {
 		return
 	}
-	t.noteLeader(m.Leader)
+	t.setLeader(m.Leader)
 	cfg := t.config
 	for _, d := range m.Deltas {
 		if d.Version != cfg.Version+1 {
@@ -193,73 +192,73 @@
 		}
 		next, err := cfg.With(d.Change)
 		if err != nil {
-			// A change that a quorum accepted applies to the same version
-			// everywhere; if not, the whole document is asked for.
+			// A committed change applies to the same version everywhere. If it does not,
+			// request the whole document.
 			t.counters.StaleConfig++
 			t.config.Version = 0
 			return
 		}
 		cfg = next
 	}
-	t.takeConfig(cfg, m.Version, m.Fresh, from)
+	t.applyFollowedConfig(cfg, m.Version, m.Fresh, from)
 	if cfg.Version < m.Version && len(m.Deltas) > 0 {
 		t.send(from, Follow{Host: t.selfHost(), Version: t.config.Version})
 	}
 }
 
-func (t *transition) wholeConfigReceived(from ident.Host, m WholeConfig) {
+func (t *transition) handleWholeConfig(from ident.Host, m WholeConfig) {
 	if t.raft.Active() {
 		return
 	}
-	t.noteLeader(m.Leader)
-	t.takeConfig(config.FromDocument(m.Document), m.Document.Version, m.Fresh, from)
+	t.setLeader(m.Leader)
+	t.applyFollowedConfig(config.FromDocument(m.Document), m.Document.Version, m.Fresh, from)
 }
 
-func (t *transition) noteLeader(leader ident.Host) {
+func (t *transition) setLeader(leader ident.Host) {
 	if leader != "" {
 		t.leader = leader
 	}
 }
 
-// takeConfig puts cfg in force unless it is older than what is in force, and
-// decides whether this host may serve: after a message of a leader with a lease
-// or, cut off at start, with the best that the zone had.
-func (t *transition) takeConfig(cfg config.Config, newest config.Version, fresh bool, from ident.Host) {
+// applyFollowedConfig applies cfg unless it is older than the current configuration, and makes
+// this host ready once it is current: either a leader with a lease confirmed it, or this host
+// started in a partition and holds the newest version available in its zone.
+func (t *transition) applyFollowedConfig(cfg config.Config, newest config.Version, fresh bool, from ident.Host) {
 	if cfg.Version < t.config.Version {
 		t.counters.StaleConfig++
 		return
 	}
 	if cfg.Version > t.config.Version {
-		t.useConfig(cfg)
+		t.applyConfig(cfg)
 	}
 	if t.ready || t.config.Version == 0 || t.config.Version < newest {
 		return
 	}
-	if fresh && t.entered() || t.now.Sub(t.started) >= cutOffBoot {
+	if fresh && t.isRegistered() || t.now.Sub(t.started) >= leaderWaitTimeout {
 		t.becomeReady(string(from))
 	}
 }
 
-// useConfig puts a configuration in force in this process.
-func (t *transition) useConfig(cfg config.Config) {
+// applyConfig puts a configuration in force in this process.
+func (t *transition) applyConfig(cfg config.Config) {
 	if cfg.Version < t.config.Version {
 		t.counters.StaleConfig++
 		return
 	}
-	hostsMoved := t.config.Hosts != cfg.Hosts
+	hostsChanged := t.config.Hosts != cfg.Hosts
 	t.config = cfg
 	t.requests = t.requests.WithConfig(cfg.Gateway)
-	t.noteNewestTable(cfg.Version)
-	t.rememberTable(cfg)
+	t.recordNewestVersion(cfg.Version)
+	t.recordTable(cfg)
 	t.counters.ConfigApplied++
-	if hostsMoved {
+	if hostsChanged {
 		t.emit(KnowHosts{Hosts: cfg.Hosts.Values()})
 	}
 	if !t.settings.Seeded() {
 		owners := t.layout.owners
 		t.layout = newLayout(cfg)
 		t.layout.owners = owners
-		t.ownersChanged()
+		t.updateOwners()
 	}
 	t.note(NoteConfig, string(t.settings.ID), fmt.Sprintf("version=%d", cfg.Version))
 }
--- a/core/host/heartbeat_test.go
+++ b/core/host/heartbeat_test.go
@@ -14,25 +14,24 @@
 	"github.com/yardhall/yardhall/core/registry"
 )
 
-const bornFirst registry.Incarnation = 1_790_000_000_000
+const firstIncarnation registry.Incarnation = 1_790_000_000_000
 
-// TestHeartbeatsThatNameNoWorkerChangeNothing sends a replica heartbeats of another writer
-// beside those of a worker: under its id, at its address, and of a service that the table
-// does not name.
-func TestHeartbeatsThatNameNoWorkerChangeNothing(t *testing.T) {
+// TestInvalidHeartbeatsChangeNothing guards against invalid heartbeats changing a registered
+// worker: with its ID, at its address, or with an unknown pool.
+func TestInvalidHeartbeatsChangeNothing(t *testing.T) {
 	f := &relayedFleet{seededFleet: newSeededFleet(t, 3, 1)}
 	f.run(5 * time.Second)
 	replica := replicaName(1)
 	good := f.worker(1, registry.Ready)
 	early := good
 	early.ID, early.Pool, early.Address = "early", "not-yet-named", "10.9.1.1:80"
-	require.True(t, f.say(replica, host.HeartbeatReceived{Worker: early}).Taken, "no table is held yet")
-	require.True(t, f.put(f.leader(), f.table(1, "k"), time.Second))
-	require.True(t, f.say(replica, host.HeartbeatReceived{Worker: good}).Taken)
-	require.True(t, f.say(replica, host.HeartbeatReceived{Worker: early}).Taken, "it was known before")
+	require.True(t, f.deliverWorkerEvent(replica, host.HeartbeatReceived{Worker: early}).Taken, "no table is held yet")
+	require.True(t, f.putTable(f.leader(), f.table(1, "k"), time.Second))
+	require.True(t, f.deliverWorkerEvent(replica, host.HeartbeatReceived{Worker: good}).Taken)
+	require.True(t, f.deliverWorkerEvent(replica, host.HeartbeatReceived{Worker: early}).Taken, "it was known before")
 	before, _ := f.states[replica].Registry().Get(good.ID)
 
-	for name, spoil := range map[string]func(*registry.Worker){
+	for name, corrupt := range map[string]func(*registry.Worker){
 		"other service, its id":      func(w *registry.Worker) { w.Pool = "none" },
 		"other service, its address": func(w *registry.Worker) { w.ID, w.Pool = "stranger", "none" },
 		"unknown state":              func(w *registry.Worker) { w.State = 9 },
@@ -42,9 +41,9 @@
 	} {
 		bad := good
 		bad.Seq = 99
-		spoil(&bad)
+		corrupt(&bad)
 		counted := f.states[replica].Counters().HeartbeatsInvalid
-		answer := f.say(replica, host.HeartbeatReceived{Worker: bad})
+		answer := f.deliverWorkerEvent(replica, host.HeartbeatReceived{Worker: bad})
 		require.False(t, answer.Taken, name)
 		require.NotEmpty(t, answer.Invalid, name)
 		require.Equal(t, counted+1, f.states[replica].Counters().HeartbeatsInvalid)
@@ -52,13 +51,14 @@
 		require.Equal(t, before, known, name)
 		require.Equal(t, 2, f.states[replica].Registry().Len(), name)
 	}
-	require.NotEmpty(t, f.say(replica, host.DeregistrationReceived{Worker: good.ID, Born: -3}).Invalid)
-	require.NotEmpty(t, f.say(replica, host.HeartbeatUnreadable{Worker: good.ID, Reason: "cut short"}).Invalid)
+	require.NotEmpty(t, f.deliverWorkerEvent(replica, host.DeregistrationReceived{Worker: good.ID, Born: -3}).Invalid)
+	require.NotEmpty(t, f.deliverWorkerEvent(replica, host.HeartbeatUnreadable{Worker: good.ID, Reason: "cut short"}).Invalid)
 	known, _ := f.states[replica].Registry().Get(good.ID)
 	require.Equal(t, before, known)
 }
 
-// TestHeartbeatsOfRelaysAreChecked has an entry host pass on what its earlier program took.
+// TestHeartbeatsOfRelaysAreChecked guards against invalid heartbeats forwarded by a relay and
+// invalid registrations sent by a replica.
 func TestHeartbeatsOfRelaysAreChecked(t *testing.T) {
 	f := &relayedFleet{seededFleet: newSeededFleet(t, 3, 1)}
 	f.run(5 * time.Second)
@@ -77,58 +77,59 @@
 	require.True(t, known)
 }
 
-// TestWorkerBehindRelaysStartsAgain lets some workers of a large fleet start again under
-// their ids: relays send them to replicas, and entry hosts know the new processes at once.
-func TestWorkerBehindRelaysStartsAgain(t *testing.T) {
-	f := startRelayed(t, 4)
+// TestWorkerBehindRelaysRestarts restarts workers of a large fleet under their IDs. Relays must
+// send them to replicas, and entry hosts must learn of the new processes at once.
+func TestWorkerBehindRelaysRestarts(t *testing.T) {
+	f := newRelayedFleet(t, 4)
 	for range 40 {
-		f.beatAll()
+		f.sendAllHeartbeats()
 	}
 	f.run(time.Second)
 	for i := range 5 {
 		w := f.worker(i, registry.Ready)
-		w.Born, w.Seq = bornFirst, 1
-		answer := f.say(f.relay[w.ID], host.HeartbeatReceived{Worker: w})
+		w.Born, w.Seq = firstIncarnation, 1
+		answer := f.deliverWorkerEvent(f.relayOf[w.ID], host.HeartbeatReceived{Worker: w})
 		if !answer.Taken {
-			answer = f.say(replicaName(i%3), host.HeartbeatReceived{Worker: w})
+			answer = f.deliverWorkerEvent(replicaName(i%3), host.HeartbeatReceived{Worker: w})
 		}
 		require.True(t, answer.Taken)
-		// Late ones of a process that said no start change nothing.
-		f.say(replicaName((i+1)%3), host.HeartbeatReceived{Worker: f.worker(i, registry.Ready)})
+		// Late heartbeats of a process that reported no start time must change nothing.
+		f.deliverWorkerEvent(replicaName((i+1)%3), host.HeartbeatReceived{Worker: f.worker(i, registry.Ready)})
 	}
 	f.run(3 * time.Second)
 	for i := range 5 {
 		w := f.worker(i, registry.Ready)
-		w.Born, w.Seq = bornFirst+60_000, 1
-		require.False(t, f.say(f.relay[w.ID], host.HeartbeatReceived{Worker: w}).Taken, "it is news, for replicas")
-		require.True(t, f.say(replicaName(i%3), host.HeartbeatReceived{Worker: w}).Taken)
+		w.Born, w.Seq = firstIncarnation+60_000, 1
+		require.False(t, f.deliverWorkerEvent(f.relayOf[w.ID], host.HeartbeatReceived{Worker: w}).Taken, "it is news, for replicas")
+		require.True(t, f.deliverWorkerEvent(replicaName(i%3), host.HeartbeatReceived{Worker: w}).Taken)
 	}
 	f.run(time.Second)
 	for e := range 4 {
 		for i := range 5 {
 			w, ok := f.states[entryName(e)].Requests().Worker(workerName(i))
 			require.True(t, ok)
-			require.Equal(t, bornFirst+60_000, w.Born)
+			require.Equal(t, firstIncarnation+60_000, w.Born)
 			require.Equal(t, registry.Ready, w.State)
 		}
 	}
 }
 
-// TestInventedWorkersAreBounded has a writer invent ids before the first table.
+// TestInventedWorkersAreBounded guards against a client filling the registry with invented IDs
+// before the first table arrives.
 func TestInventedWorkersAreBounded(t *testing.T) {
 	f := &relayedFleet{seededFleet: newSeededFleet(t, 3, 0)}
 	f.run(time.Second)
 	known := f.worker(1, registry.Ready)
-	require.True(t, f.say(replicaName(0), host.HeartbeatReceived{Worker: known}).Taken)
+	require.True(t, f.deliverWorkerEvent(replicaName(0), host.HeartbeatReceived{Worker: known}).Taken)
 	taken := 0
 	for i := range 9000 {
 		w := f.worker(2, registry.Ready)
 		w.ID, w.Pool, w.Address = ident.Target(fmt.Sprint("invented-", i)), "any", fmt.Sprintf("10.8.%d.%d:80", i/250, i%250)
-		if f.say(replicaName(0), host.HeartbeatReceived{Worker: w}).Taken {
+		if f.deliverWorkerEvent(replicaName(0), host.HeartbeatReceived{Worker: w}).Taken {
 			taken++
 		}
 	}
 	require.Less(t, taken, 8500)
-	require.True(t, f.say(replicaName(0), host.HeartbeatReceived{Worker: known}).Taken)
-	require.True(t, f.say(replicaName(0), host.DeregistrationReceived{Worker: "invented-8999"}).Taken)
+	require.True(t, f.deliverWorkerEvent(replicaName(0), host.HeartbeatReceived{Worker: known}).Taken)
+	require.True(t, f.deliverWorkerEvent(replicaName(0), host.DeregistrationReceived{Worker: "invented-8999"}).Taken)
 }
--- a/core/host/host.go
+++ b/core/host/host.go
@@ -174,14 +174,14 @@
 	case RequestEvent:
 		t.reduceRequests(ev.Event)
 	case HeartbeatReceived:
-		t.heartbeatReceived(ev.Worker)
+		t.handleHeartbeat(ev.Worker)
 	case DeregistrationReceived:
-		t.deregistrationReceived(ev)
+		t.handleDeregistration(ev)
 	case HeartbeatUnreadable:
-		t.heartbeatInvalid(ev.Worker, ev.Reason)
+		t.rejectHeartbeat(ev.Worker, ev.Reason)
 		t.emit(HeartbeatAnswer{Invalid: ev.Reason})
 	case Read:
-		t.read(ev)
+		t.handleRead(ev)
 	case Reseeded:
 		t.settings.Seeds = ev.Seeds
 	}
@@ -233,7 +233,7 @@
 	case Raft:
 		t.receiveRaft(from, m)
 	case PeerHeartbeat:
-		t.peerHeartbeat(from, m.Beat)
+		t.handlePeerHeartbeat(from, m.Beat)
 	case RequestPermit:
 		t.permitRequested(from, m)
 	case PermitReply:
@@ -251,27 +251,27 @@
 	case AnswerOf:
 		t.answerOf(m)
 	case Follow:
-		t.followReceived(from, m)
+		t.handleFollow(from, m)
 	case Changes:
-		t.changesReceived(from, m)
+		t.handleChanges(from, m)
 	case WholeConfig:
-		t.wholeConfigReceived(from, m)
+		t.handleWholeConfig(from, m)
 	case ForwardWrite:
-		t.forwardWrite(from, m)
+		t.handleForwardWrite(from, m)
 	case WriteAnswered:
-		t.writeAnswered(m.ID, m.Result)
+		t.handleWriteAnswered(m.ID, m.Result)
 	case Poll:
 		t.pollReceived(from, m)
 	case PollReply:
-		t.pollReplied(from, m)
+		t.handlePollReply(from, m)
 	case AwaitInForce:
-		t.awaitInForceReceived(from, m)
+		t.handleAwaitInForce(from, m)
 	case Join:
-		t.joinRequested(from, m)
+		t.handleJoin(from, m)
 	case ReadRequest:
-		t.readRequested(from, m)
+		t.handleReadRequest(from, m)
 	case ReadReply:
-		t.readReplied(m)
+		t.handleReadReply(m)
 	}
 }
 
--- a/core/host/hub.go
+++ b/core/host/hub.go
@@ -14,48 +14,48 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// Package hubs decides who is a hub and which hubs a host polls; here is how a hub serves.
-// It polls every replica, joins what they report, and replies like one of them; a leader's
-// confirmation it passes on with its age. Each host has one hub as its primary hub, which
-// counts the host and its requests.
+// Package hubs decides which hosts are hubs and which hubs a host polls; this file implements
+// what a hub does. A hub polls every replica, merges what they report and replies to its
+// clients like a replica. It forwards a leader's confirmation together with its age. Each host
+// has one primary hub, which counts the host and its requests.
 const (
-	// hubTimeout is how long a hub may give no useful reply before another one is polled:
-	// four polls of a small fleet. Chosen, not measured.
+	// hubTimeout is how long a hub may give no useful reply before another one is polled: four
+	// polls of a small fleet.
 	hubTimeout = 4 * minPollInterval
-	// groupReportInterval is the time between two reports of a hub on the hosts that it
-	// counts, where nothing changes: well within clientLifetime.
+	// groupReportInterval is the time between two reports of the hosts that a hub counts while
+	// they do not change. It is well below clientLifetime.
 	groupReportInterval = 1500 * time.Millisecond
 )
 
-// hubState is what a host knows of hubs, and a hub of those that poll it. Its slices are
-// never changed in place.
+// hubState is what a host knows about hubs and, on a hub, about its clients. Its slices are
+// never modified in place.
 type hubState struct {
-	// list are the hubs in force; on a replica they are those that it names.
+	// list holds the hubs in force; on a replica, those it selected.
 	list hubs.Naming
-	// choice are the hubs that this host polls, pollReplicasAt when replicas are next
-	// polled because none of them gives a useful reply.
-	choice         hubs.Choice
+	// pollSet holds the hubs that this host polls. pollReplicasAt is when replicas are polled
+	// next while no hub gives a useful reply.
+	pollSet        hubs.Choice
 	pollReplicasAt time.Time
-	// serves is set for good once this host was named a hub: from then on it keeps
-	// registrations and replies to polls.
+	// serves is set once this host has been listed as a hub or polled as a fallback peer, and
+	// stays set: it then keeps registrations and replies to polls.
 	serves bool
 	// outsideLoads are the requests of the hosts that this hub does not count, as of
 	// outsideLoadsAt.
 	outsideLoads   loads.Digest
 	outsideLoadsAt time.Time
-	// polledLast are the hosts polled last, replicas included.
-	polledLast []ident.Host
-	// reportedGroup is the hash of the group last reported, at groupReportedAt.
-	reportedGroup   hash.Key
-	groupReportedAt time.Time
+	// lastPolled are the hosts polled in the last round, replicas included.
+	lastPolled []ident.Host
+	// reportedGroupHash is the hash of the group last reported, at groupReportedAt.
+	reportedGroupHash hash.Key
+	groupReportedAt   time.Time
 }
 
-// isHub tells whether this host polls replicas for others.
+// isHub reports whether this host polls replicas on behalf of others.
 func (t *transition) isHub() bool {
 	return t.seeded.hub.list.Has(t.settings.ID) || t.seeded.hub.serves && t.isPrimaryOfAny()
 }
 
-// isPrimaryOfAny tells whether some host has this one for its primary hub.
+// isPrimaryOfAny reports whether this host is the primary hub of any live client.
 func (t *transition) isPrimaryOfAny() bool {
 	for _, c := range t.seeded.clients.All() {
 		if c.primary && c.live(t.now) {
@@ -65,15 +65,15 @@
 	return false
 }
 
-// pollsHubs tells whether this host polls hubs in place of replicas.
+// pollsHubs reports whether this host polls hubs instead of replicas.
 func (t *transition) pollsHubs() bool {
 	return t.seeded.hub.list.Len() > 0 && !t.settings.IsReplica() && !t.isHub()
 }
 
-// repliesToPolls tells whether this host replies to polls of others.
+// repliesToPolls reports whether this host replies to polls of other hosts.
 func (t *transition) repliesToPolls() bool { return t.settings.IsReplica() || t.seeded.hub.serves }
 
-// primaryHub is the hub that counts this host; empty where replicas do.
+// primaryHub returns the hub that counts this host, or "" if replicas do.
 func (t *transition) primaryHub() ident.Host {
 	if !t.pollsHubs() {
 		return ""
@@ -81,15 +81,15 @@
 	return t.loadSource()
 }
 
-// hubsFailed tells whether no hub has given a useful reply for so long that replicas must
-// be polled.
-func (t *transition) hubsFailed() bool { return t.seeded.hub.choice.Failed(t.now) }
+// hubsFailed reports whether hubs have given no useful reply for so long that replicas must be
+// polled.
+func (t *transition) hubsFailed() bool { return t.seeded.hub.pollSet.Failed(t.now) }
 
-// renewHubs turns away from hubs without a useful reply, and to those that rank next.
-func (t *transition) renewHubs() {
+// updateHubPollSet replaces polled hubs that give no useful replies with the next in rank.
+func (t *transition) updateHubPollSet() {
 	h := &t.seeded.hub
 	if !t.pollsHubs() {
-		h.choice = h.choice.Without()
+		h.pollSet = h.pollSet.Without()
 		return
 	}
 	lastUseful := func(id ident.Host) time.Time {
@@ -98,34 +98,35 @@
 	}
 	self := hubs.Self{ID: t.settings.ID, Zone: t.settings.Zone}
 	timeout := max(hubTimeout, leaderTimeoutIntervals*t.pollInterval())
-	h.choice = h.choice.Renewed(h.list.Hosts, self, lastUseful, timeout, t.now)
+	h.pollSet = h.pollSet.Renewed(h.list.Hosts, self, lastUseful, timeout, t.now)
 }
 
-// deregisterElsewhere tells hosts that are polled no more that others count this host now.
-func (t *transition) deregisterElsewhere(polled []ident.Host) {
+// deregisterFromUnpolled deregisters this host from hosts that it has stopped polling, because
+// others count it now.
+func (t *transition) deregisterFromUnpolled(polled []ident.Host) {
 	if t.pollsHubs() && t.hubsFailed() {
 		return
 	}
-	for _, h := range t.seeded.hub.polledLast {
+	for _, h := range t.seeded.hub.lastPolled {
 		if !slices.Contains(polled, h) {
 			t.send(h, Poll{Leaves: true, Boot: t.settings.Incarnation})
 		}
 	}
-	t.seeded.hub.polledLast = polled
+	t.seeded.hub.lastPolled = polled
 }
 
-// becomeHub gives this host what it needs to reply to others: the workers that it knows,
-// with revisions of its own, and the table from which others may follow.
+// becomeHub prepares this host to reply to polls: it registers the known workers under
+// revisions of its own and records the current table as a base for deltas.
 func (t *transition) becomeHub() {
 	t.seeded.hub.serves = true
 	for w := range t.requests.Workers() {
 		t.registry = t.registry.WithReport(w, t.now)
 	}
-	t.rememberTable(t.config)
+	t.recordTable(t.config)
 	t.note(NoteHub, string(t.settings.ID), "answers other hosts")
 }
 
-// hubReply adds to a reply what a hub knows in place of a leader.
+// hubReply adds to a reply what a hub reports in place of a leader.
 func (t *transition) hubReply(r PollReply, m Poll) PollReply {
 	r.Leader, r.Hosts, r.Replicas = t.seeded.leaderContact, t.seeded.hosts, t.seeded.replicas
 	r.Cut = !t.replicaRepliedWithin(hubTimeout)
@@ -139,30 +140,30 @@
 	return r
 }
 
-// loadsFor are the requests that this host reports to another one: a hub those of its
-// group, other hosts their own, and to no hub but their primary one.
-func (t *transition) loadsFor(to ident.Host) loads.Digest {
+// loadsToReport returns the requests that this host reports to another one: a hub those of its
+// group, other hosts their own, and nothing to hubs other than the primary one.
+func (t *transition) loadsToReport(receiver ident.Host) loads.Digest {
 	switch {
 	case t.isHub():
 		return t.sumLoads().total
-	case t.pollsHubs() && to != t.primaryHub() && t.seeded.hub.choice.Has(to):
+	case t.pollsHubs() && receiver != t.primaryHub() && t.seeded.hub.pollSet.Has(receiver):
 		return nil
 	}
 	return t.requests.Loads(t.now)
 }
 
-// takeLoads takes the requests of other hosts. A hub keeps them for its group, and adds
-// the group's for itself.
-func (t *transition) takeLoads(reported loads.Digest, asOf time.Time) {
+// applyReportedLoads stores the reported requests of other hosts. A hub keeps them for its
+// group and adds the group's own before it uses them.
+func (t *transition) applyReportedLoads(reported loads.Digest, asOf time.Time) {
 	if t.seeded.hub.serves {
 		t.seeded.hub.outsideLoads, t.seeded.hub.outsideLoadsAt = reported, asOf
-		reported = t.sumLoads().others(t.settings.ID, reported)
+		reported = t.sumLoads().excluding(t.settings.ID, reported)
 	}
 	t.reduceRequests(requests.LoadsReported{Loads: reported, AsOf: asOf})
 }
 
-// groupReport are the hosts that this hub counts; due tells whether they are to be
-// reported now.
+// groupReport returns the hosts that this hub counts. due reports whether they must be reported
+// in this round, which groupReport then records.
 func (t *transition) groupReport() (hosts []hubs.Host, due bool) {
 	var names []string
 	for _, c := range t.seeded.clients.All() {
@@ -173,15 +174,16 @@
 	}
 	h := &t.seeded.hub
 	key := hash.Of(names...)
-	due = key != h.reportedGroup || t.now.Sub(h.groupReportedAt) >= groupReportInterval
+	due = key != h.reportedGroupHash || t.now.Sub(h.groupReportedAt) >= groupReportInterval
 	if due {
-		h.reportedGroup, h.groupReportedAt = key, t.now
+		h.reportedGroupHash, h.groupReportedAt = key, t.now
 	}
 	return hosts, due
 }
 
-// keepRegistrations keeps what replicas report of workers, for the clients of this hub.
-func (t *transition) keepRegistrations(workers []registry.Worker) {
+// storeRegistrations adds workers that replicas reported to the registry that this hub serves
+// to its clients.
+func (t *transition) storeRegistrations(workers []registry.Worker) {
 	if !t.seeded.hub.serves {
 		return
 	}
@@ -190,15 +192,15 @@
 	}
 }
 
-// tickHub sends the clients of this hub what has changed.
+// tickHub sends changes to the clients of this hub and expires old state.
 func (t *transition) tickHub() {
 	if !t.seeded.hub.serves {
 		return
 	}
 	t.pushUpdates()
-	if t.now.Sub(t.seeded.lookedAt) >= registryInterval {
-		t.seeded.lookedAt = t.now
+	if t.now.Sub(t.seeded.registryScannedAt) >= registryScanInterval {
+		t.seeded.registryScannedAt = t.now
 		t.registry = t.registry.Forget(t.now)
-		t.forgetLeases()
+		t.expireLeases()
 	}
 }
--- a/core/host/hub_test.go
+++ b/core/host/hub_test.go
@@ -16,23 +16,22 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// largeFleet has enough entry hosts, in three zones, that replicas name hubs.
+// largeFleet is a number of entry hosts, in three zones, for which replicas select hubs.
 const largeFleet = 60
 
-func startLarge(t *testing.T, entries int) *seededFleet {
+func newLargeFleet(t *testing.T, entries int) *seededFleet {
 	f := newSeededFleet(t, 3, entries)
 	f.run(8 * time.Second)
-	require.True(t, f.put(f.leader(), f.table(1, "k"), time.Second))
-	f.beat(replicaName(0), "w1", registry.Ready, 1)
+	require.True(t, f.putTable(f.leader(), f.table(1, "k"), time.Second))
+	f.sendHeartbeat(replicaName(0), "w1", registry.Ready, 1)
 	f.run(2 * time.Second)
 	return f
 }
 
-// askers are the hosts whose questions reach a replica within a time, and those
-// that hosts ask instead.
-func (f *seededFleet) askers(d time.Duration) (direct, hubs map[ident.Host]bool) {
+// pollers runs for d and returns the hosts that poll replicas and the hubs that are polled.
+func (f *seededFleet) pollers(d time.Duration) (direct, hubs map[ident.Host]bool) {
 	direct, hubs = map[ident.Host]bool{}, map[ident.Host]bool{}
-	f.seen = func(p seededPacket) {
+	f.onDeliver = func(p seededPacket) {
 		if _, ok := p.message.(host.Poll); !ok {
 			return
 		}
@@ -43,7 +42,7 @@
 		}
 	}
 	f.run(d)
-	f.seen = nil
+	f.onDeliver = nil
 	return direct, hubs
 }
 
@@ -56,14 +55,14 @@
 		}
 		require.EqualValues(t, number, f.states[id].Requests().Number(), "entry %d", i)
 		require.True(t, f.states[id].Ready(), "entry %d", i)
-		require.IsType(t, requests.Dispatch{}, f.ask(id, "/x/1", "k"), "entry %d", i)
+		require.IsType(t, requests.Dispatch{}, f.sendRequest(id, "/x/1", "k"), "entry %d", i)
 	}
 }
 
-// anyHub is a hub that hosts ask.
+// anyHub returns a hub that hosts poll.
 func (f *seededFleet) anyHub(t *testing.T) ident.Host {
 	t.Helper()
-	_, hubs := f.askers(2 * time.Second)
+	_, hubs := f.pollers(2 * time.Second)
 	for i := range largeFleet {
 		if hubs[entryName(i)] {
 			return entryName(i)
@@ -73,26 +72,26 @@
 	return ""
 }
 
-// TestReplicasOfALargeFleetAreAskedByFewHosts grows a fleet: the hosts that ask
-// replicas grow far less than the fleet.
-func TestReplicasOfALargeFleetAreAskedByFewHosts(t *testing.T) {
+// TestFewHostsPollReplicasOfALargeFleet guards against the number of hosts that poll replicas
+// growing with the fleet.
+func TestFewHostsPollReplicasOfALargeFleet(t *testing.T) {
 	for _, entries := range []int{30, largeFleet, 150} {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
-			f := startLarge(t, entries)
-			direct, _ := f.askers(3 * time.Second)
+			f := newLargeFleet(t, entries)
+			direct, _ := f.pollers(3 * time.Second)
 			if entries == 30 {
 				require.Len(t, direct, entries)
 			} else {
 				require.Less(t, len(direct), 8+entries/8)
 			}
 			f.requireServing(t, entries, 1)
-			f.requireDumped(t, entries)
+			f.requireDump(t, entries)
 		})
 	}
 }
 
-// requireDumped compares the dump of a host with the fleet.
-func (f *seededFleet) requireDumped(t *testing.T, entries int) {
+// requireDump compares the state dumps of a host and the leader with the fleet.
+func (f *seededFleet) requireDump(t *testing.T, entries int) {
 	t.Helper()
 	d := f.states[entryName(0)].Dump(f.now).Sync
 	require.Equal(t, entries, d.Hosts)
@@ -106,168 +105,168 @@
 	require.Positive(t, leader.Askers)
 }
 
-// TestChangesReachALargeFleetAtOnce changes the table, has a worker drain and
-// another one join: all hosts know within a few ticks.
+// TestChangesReachALargeFleetAtOnce changes the table, drains a worker and adds another. All
+// hosts must use the changes within a few ticks.
 func TestChangesReachALargeFleetAtOnce(t *testing.T) {
-	f := startLarge(t, largeFleet)
-	require.True(t, f.put(f.leader(), f.table(2, "k"), 500*time.Millisecond))
+	f := newLargeFleet(t, largeFleet)
+	require.True(t, f.putTable(f.leader(), f.table(2, "k"), 500*time.Millisecond))
 	f.requireServing(t, largeFleet, 2)
-	f.beat(replicaName(1), "w2", registry.Ready, 1)
-	f.beat(replicaName(2), "w1", registry.Draining, 2)
+	f.sendHeartbeat(replicaName(1), "w2", registry.Ready, 1)
+	f.sendHeartbeat(replicaName(2), "w1", registry.Draining, 2)
 	f.run(300 * time.Millisecond)
 	for i := range largeFleet {
-		d, ok := f.ask(entryName(i), "/x/1", "k").(requests.Dispatch)
+		d, ok := f.sendRequest(entryName(i), "/x/1", "k").(requests.Dispatch)
 		require.True(t, ok)
 		require.EqualValues(t, "w2", d.Worker.ID, "entry %d", i)
 	}
 }
 
-// TestHostsLeaveAHubThatIsLost kills a hub, and freezes another: hosts ask others,
-// learn of a table that is put in force right after, and are never unready.
+// TestHostsLeaveAHubThatIsLost stops a hub. Its clients must switch to others, receive a table
+// that is committed right after, and stay ready.
 func TestHostsLeaveAHubThatIsLost(t *testing.T) {
-	f := startLarge(t, largeFleet)
+	f := newLargeFleet(t, largeFleet)
 	lost := f.anyHub(t)
 	f.stop(lost)
-	require.True(t, f.put(f.leader(), f.table(2, "k"), 2*time.Second))
+	require.True(t, f.putTable(f.leader(), f.table(2, "k"), 2*time.Second))
 	f.requireServing(t, largeFleet, 2)
 	f.run(8 * time.Second)
-	_, hubs := f.askers(2 * time.Second)
+	_, hubs := f.pollers(2 * time.Second)
 	require.False(t, hubs[lost])
 	f.requireServing(t, largeFleet, 2)
-	require.Equal(t, largeFleet-1, f.hostsCounted())
+	require.Equal(t, largeFleet-1, f.reportedHostCount())
 }
 
-// hostsCounted is how many hosts the leader told.
-func (f *seededFleet) hostsCounted() int {
+// reportedHostCount returns the number of hosts that the leader reports.
+func (f *seededFleet) reportedHostCount() int {
 	n := 0
-	f.seen = func(p seededPacket) {
+	f.onDeliver = func(p seededPacket) {
 		if m, ok := p.message.(host.PollReply); ok && m.Fresh && p.from == f.leader() {
 			n = m.Hosts
 		}
 	}
 	f.run(time.Second)
-	f.seen = nil
+	f.onDeliver = nil
 	return n
 }
 
-// TestHostsLeaveAHubThatIsCutOff cuts a hub off from replicas only: it answers,
-// but knows nothing new.
+// TestHostsLeaveAHubThatIsCutOff partitions a hub from the replicas only. Hosts must not stay
+// with it, as it still replies but has nothing new.
 func TestHostsLeaveAHubThatIsCutOff(t *testing.T) {
-	f := startLarge(t, largeFleet)
+	f := newLargeFleet(t, largeFleet)
 	hub := f.anyHub(t)
 	for i := range 3 {
-		f.cut[[2]ident.Host{hub, replicaName(i)}] = true
-		f.cut[[2]ident.Host{replicaName(i), hub}] = true
+		f.blocked[[2]ident.Host{hub, replicaName(i)}] = true
+		f.blocked[[2]ident.Host{replicaName(i), hub}] = true
 	}
 	f.run(3 * time.Second)
-	id := f.commit(f.leader(), f.table(2, "k"))
+	id := f.commitTable(f.leader(), f.table(2, "k"))
 	f.run(500 * time.Millisecond)
 	f.requireServing(t, largeFleet, 2, hub)
 	f.run(5 * time.Second)
 	f.requireServing(t, largeFleet, 2, hub)
-	require.True(t, f.acked(id))
+	require.True(t, f.isAcknowledged(id))
 }
 
-// TestKeyLeaseHoldsBehindAHub cuts a zone off from all replicas, its hubs
-// included: no host there uses a key for longer than the lease.
+// TestKeyLeaseHoldsBehindAHub partitions all entry hosts, hubs included, from the replicas. No
+// host may use a key for longer than the lease.
 func TestKeyLeaseHoldsBehindAHub(t *testing.T) {
-	f := startLarge(t, largeFleet)
+	f := newLargeFleet(t, largeFleet)
 	for i := range largeFleet {
 		for r := range 3 {
-			f.cut[[2]ident.Host{entryName(i), replicaName(r)}] = true
-			f.cut[[2]ident.Host{replicaName(r), entryName(i)}] = true
+			f.blocked[[2]ident.Host{entryName(i), replicaName(r)}] = true
+			f.blocked[[2]ident.Host{replicaName(r), entryName(i)}] = true
 		}
 	}
 	f.run(requests.DefaultKeyLease)
 	for i := range largeFleet {
-		require.Equal(t, requests.CodeStale, codeOf(t, f.ask(entryName(i), "/x/1", "k")), "entry %d", i)
+		require.Equal(t, requests.CodeStale, codeOf(t, f.sendRequest(entryName(i), "/x/1", "k")), "entry %d", i)
 	}
-	clear(f.cut)
+	clear(f.blocked)
 	f.run(2 * time.Second)
 	f.requireServing(t, largeFleet, 1)
 }
 
-// TestAllHubsAreLost stops all hubs at once: hosts ask replicas until others are
-// named.
+// TestAllHubsAreLost stops all hubs at once. Hosts must poll replicas until other hubs are
+// selected.
 func TestAllHubsAreLost(t *testing.T) {
-	f := startLarge(t, largeFleet)
-	_, hubs := f.askers(2 * time.Second)
+	f := newLargeFleet(t, largeFleet)
+	_, hubs := f.pollers(2 * time.Second)
 	for hub := range hubs {
 		f.stop(hub)
 	}
 	f.run(9 * time.Second)
 	f.requireServing(t, largeFleet, 1)
-	direct, _ := f.askers(2 * time.Second)
+	direct, _ := f.pollers(2 * time.Second)
 	require.Less(t, len(direct), 30)
 }
 
-// TestReplicasRestartBehindHubs restarts all replicas: the fleet is served again
-// soon and hubs stay few.
+// TestReplicasRestartBehindHubs restarts all replicas. The fleet must soon be served again, and
+// only a few hosts may poll replicas.
 func TestReplicasRestartBehindHubs(t *testing.T) {
-	f := startLarge(t, largeFleet)
+	f := newLargeFleet(t, largeFleet)
 	for i := range 3 {
 		f.stop(replicaName(i))
 		f.start(replicaName(i))
 	}
 	f.run(7 * time.Second)
-	f.beat(replicaName(1), "w1", registry.Ready, 3)
+	f.sendHeartbeat(replicaName(1), "w1", registry.Ready, 3)
 	f.run(500 * time.Millisecond)
 	f.requireServing(t, largeFleet, 1)
-	direct, _ := f.askers(2 * time.Second)
+	direct, _ := f.pollers(2 * time.Second)
 	require.Less(t, len(direct), 20)
 }
 
-// TestLoadsAreToldThroughHubs has each host send a request to one worker: each
-// host counts all of them, once.
-func TestLoadsAreToldThroughHubs(t *testing.T) {
-	f := startLarge(t, largeFleet)
+// TestLoadsAreReportedThroughHubs sends one request from each host to the same worker. Each
+// host must count every request exactly once.
+func TestLoadsAreReportedThroughHubs(t *testing.T) {
+	f := newLargeFleet(t, largeFleet)
 	for i := range largeFleet {
-		require.IsType(t, requests.Dispatch{}, f.ask(entryName(i), "/x/1", "k"))
+		require.IsType(t, requests.Dispatch{}, f.sendRequest(entryName(i), "/x/1", "k"))
 	}
 	f.run(3 * time.Second)
 	for i := range largeFleet {
-		require.Equal(t, largeFleet, f.loadSeen(entryName(i)), "entry %d", i)
+		require.Equal(t, largeFleet, f.observedLoad(entryName(i)), "entry %d", i)
 	}
 	hub := f.anyHub(t)
 	f.reduce(hub, host.Drain{})
 	f.run(8 * time.Second)
 	for i := range largeFleet {
-		require.Equal(t, largeFleet, f.loadSeen(entryName(i)), "entry %d, after a hub's planned stop", i)
+		require.Equal(t, largeFleet, f.observedLoad(entryName(i)), "entry %d, after a hub's planned stop", i)
 	}
 }
 
-// TestHeartbeatsTravelThroughHubs has relays hear many workers of a large fleet
-// for longer than a worker may be silent.
+// TestHeartbeatsTravelThroughHubs sends heartbeats to relays of a large fleet for longer than
+// the worker timeout. No worker may be considered silent.
 func TestHeartbeatsTravelThroughHubs(t *testing.T) {
-	f := startRelayed(t, largeFleet)
+	f := newRelayedFleet(t, largeFleet)
 	for range 12 {
-		f.beatAll()
+		f.sendAllHeartbeats()
 		f.run(time.Second)
 	}
 	used := map[ident.Host]bool{}
-	for _, relay := range f.relay {
+	for _, relay := range f.relayOf {
 		used[relay] = true
 	}
 	require.Greater(t, len(used), largeFleet/2, "replicas know the relays behind hubs")
 	for i := range largeFleet {
-		require.Equal(t, manyWorkers, f.usableAt(entryName(i)), "entry %d", i)
+		require.Equal(t, manyWorkers, f.readyWorkersAt(entryName(i)), "entry %d", i)
 	}
 }
 
-// TestChangesAreToldToAFewHostsATick has a worker come at a replica that many hosts
-// ask: in each tick it tells a bounded number of them, and soon all.
-func TestChangesAreToldToAFewHostsATick(t *testing.T) {
+// TestUpdatesPerTickAreBounded registers a worker at a replica with many clients. The replica
+// may update only a bounded number of them per tick, but must soon have updated all.
+func TestUpdatesPerTickAreBounded(t *testing.T) {
 	const entries = 39
-	f := startLarge(t, entries)
-	told := map[time.Time]int{}
-	f.seen = func(p seededPacket) {
+	f := newLargeFleet(t, entries)
+	updatesByTick := map[time.Time]int{}
+	f.onDeliver = func(p seededPacket) {
 		if m, ok := p.message.(host.PollReply); ok && m.Round == 0 && p.from == replicaName(1) {
-			told[f.now]++
+			updatesByTick[f.now]++
 		}
 	}
-	f.beat(replicaName(1), "w2", registry.Ready, 1)
+	f.sendHeartbeat(replicaName(1), "w2", registry.Ready, 1)
 	f.run(4 * seededStep)
-	for at, n := range told {
+	for at, n := range updatesByTick {
 		require.LessOrEqual(t, n, 16, "%s", at)
 	}
 	for i := range entries {
@@ -276,17 +275,16 @@
 	}
 }
 
-// TestRelaysOfAVeryLargeFleet has workers come for the first time: each is sent to a
-// relay of its zone with its first heartbeat, and a relay that gets too many of them
-// sends some back.
+// TestRelaysOfAVeryLargeFleet registers new workers. The answer to the first heartbeat must
+// name a relay of the worker's zone, and a relay with too many workers must decline some.
 func TestRelaysOfAVeryLargeFleet(t *testing.T) {
 	const entries = 120
-	f := startLarge(t, entries)
+	f := newLargeFleet(t, entries)
 	answer := func(at ident.Host, id string) host.HeartbeatAnswer {
-		f.beats = nil
+		f.heartbeatAnswers = nil
 		f.reduce(at, host.HeartbeatReceived{Worker: registry.Worker{ID: ident.Target(id), Pool: "pool", Zone: "z1", Address: "10.9.9.9:80", Slots: 4, Seq: 1}})
-		require.Len(t, f.beats, 1)
-		return f.beats[0]
+		require.Len(t, f.heartbeatAnswers, 1)
+		return f.heartbeatAnswers[0]
 	}
 	first := answer(replicaName(0), "new")
 	relay, ok := strings.CutPrefix(first.Relay, "relay at ")
--- a/core/host/hublist.go
+++ b/core/host/hublist.go
@@ -10,12 +10,13 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// hubWarmUp is how long a replica that starts is polled before it names hubs and fallback
-// peers: longer than hosts of any fleet leave between two polls.
+// hubWarmUp is how long a replica is polled after its start before it selects hubs and fallback
+// peers. It exceeds the time between two polls in a fleet of any size, so every live host has
+// polled by then.
 const hubWarmUp = maxPollInterval + minPollInterval
 
-// liveEntryHosts are the entry hosts that a replica knows: those that poll it and those
-// that hubs count, by name.
+// liveEntryHosts returns the entry hosts known to a replica, sorted by name: those that poll it
+// and those that hubs count.
 func (t *transition) liveEntryHosts() []hubs.Host {
 	found := map[ident.Host]hubs.Host{}
 	for _, c := range t.seeded.clients.All() {
@@ -32,23 +33,23 @@
 	return slices.SortedFunc(maps.Values(found), func(a, b hubs.Host) int { return hubs.First(a.Host < b.Host) })
 }
 
-// hubsAbove is the number of entry hosts above which hubs are named.
-func (t *transition) hubsAbove() int {
+// hubThreshold returns the number of entry hosts above which hubs are selected.
+func (t *transition) hubThreshold() int {
 	if t.settings.HubsAbove == 0 {
 		return hubs.DefaultAbove
 	}
 	return t.settings.HubsAbove
 }
 
-// nameHubs names the hubs of the fleet, on a replica that has had the time to know all
+// selectHubs updates the hubs of the fleet once this replica has run long enough to know all
 // hosts.
-func (t *transition) nameHubs(hosts []hubs.Host) {
+func (t *transition) selectHubs(hosts []hubs.Host) {
 	if t.now.Sub(t.started) >= hubWarmUp {
-		t.seeded.hub.list = t.seeded.hub.list.Renewed(hosts, t.hubsAbove(), t.now)
+		t.seeded.hub.list = t.seeded.hub.list.Renewed(hosts, t.hubThreshold(), t.now)
 	}
 }
 
-// withHubList adds the list of hubs to a reply where the client holds another one.
+// withHubList adds the list of hubs to a reply if the client holds a different one.
 func (t *transition) withHubList(r PollReply, m Poll) PollReply {
 	r.HubList = t.seeded.hub.list.Key
 	if r.HubList != m.HubList {
@@ -57,15 +58,16 @@
 	return r
 }
 
-// takeHubList takes the list of hubs in a reply; this host begins to serve as one where it
-// stands on the list.
-func (t *transition) takeHubList(m PollReply) {
+// applyHubList stores the list of hubs in a reply. This host starts serving as a hub if it is
+// listed. A list from a sender without a fresh confirmation is used only while this host has
+// none.
+func (t *transition) applyHubList(m PollReply) {
 	h := &t.seeded.hub
 	if m.HubList == 0 || m.HubList == h.list.Key || !m.Fresh && h.list.Key != 0 {
 		return
 	}
 	if h.list.Len() == 0 {
-		h.choice = h.choice.WithUseful(t.now)
+		h.pollSet = h.pollSet.WithUseful(t.now)
 	}
 	h.list.List = hubs.List{Hosts: m.Hubs, Key: m.HubList}
 	if h.list.Has(t.settings.ID) && !h.serves {
--- a/core/host/inforce.go
+++ b/core/host/inforce.go
@@ -12,11 +12,11 @@
 	"github.com/yardhall/yardhall/core/raft"
 )
 
-// Package inforce decides when a route table is acknowledged; here its inputs are gathered
-// and its answers sent.
+// Package inforce decides when a route table is acknowledged. This file collects its inputs and
+// sends the answers.
 
-// leaseWarmUp is how long a replica that starts is polled before it knows who holds
-// leases: longer than hosts of any fleet leave between two polls.
+// leaseWarmUp is how long a replica must be polled after its start before it knows all lease
+// holders. It exceeds the time between two polls in a fleet of any size.
 const leaseWarmUp = maxPollInterval + minPollInterval
 
 func (t *transition) inForceSettings() inforce.Settings {
@@ -27,63 +27,66 @@
 	return inforce.View{Self: t.settings.ID, Started: t.started, LeaderSince: t.leaderSince}
 }
 
-// grantLease remembers what a host reports in a poll of tables in force there, and that the
-// reply confirms the version held here.
-func (t *transition) grantLease(from ident.Host, m Poll) {
+// recordLease records which table a host reports in force, and that the reply confirms the
+// version held here.
+func (t *transition) recordLease(from ident.Host, m Poll) {
 	t.seeded.inForce = t.seeded.inForce.WithGrant(inforce.Grant{
 		From: from, Boot: m.Boot, InForce: m.InForce, Sent: t.heldConfig().Version,
 	}, t.now)
 }
 
-func (t *transition) forgetLeases() {
+func (t *transition) expireLeases() {
 	t.seeded.inForce = t.seeded.inForce.WithoutEnded(t.inForceSettings(), t.now)
 	t.seeded.zonesInForce = t.seeded.zonesInForce.WithoutEnded(t.inForceSettings(), t.now)
 }
 
-// inForceReportDue tells whether this host polls early, as a leader may wait for its news.
+// inForceReportDue reports whether this host should poll early because a leader may be waiting
+// for its report.
 func (t *transition) inForceReportDue() bool {
 	return t.seeded.inForce.ReportDue(t.config.Version, t.inForceSettings(), t.now)
 }
 
-// inForceReport is the oldest table in force, as reported in polls now.
+// inForceReport returns the oldest table in force to report in polls, and records that it is
+// reported.
 func (t *transition) inForceReport() config.Version {
 	next, oldest := t.seeded.inForce.WithReport(t.config.Version, t.inForceSettings(), t.now)
 	t.seeded.inForce = next
 	return oldest
 }
 
-// holdAnswer keeps the answer to a write until its table, or the drained zones, are in
-// force; only a leader knows when that is.
-func (t *transition) holdAnswer(a inforce.Answer, ofZones bool) {
+// holdWrite holds the answer to a committed write until its table, or the drained zones, are in
+// force. Only a leader knows when that is.
+func (t *transition) holdWrite(a inforce.Answer, ofZones bool) {
 	if ofZones {
 		t.seeded.zonesInForce = t.seeded.zonesInForce.WithAnswer(a, t.now)
 	} else {
 		t.seeded.inForce = t.seeded.inForce.WithAnswer(a, t.now)
 	}
-	t.releaseAnswers()
+	t.releaseWrites()
 }
 
-// releaseAnswers sends the answers whose tables or drained zones will be in force in time.
-func (t *transition) releaseAnswers() {
+// releaseWrites answers the writes whose tables or drained zones are certain to be in force in
+// time.
+func (t *transition) releaseWrites() {
 	if !t.raft.LeaseHeld(t.now) {
 		return
 	}
-	t.seeded.inForce = t.released(t.seeded.inForce, t.inForceSettings(), NoteInForce)
+	t.seeded.inForce = t.releaseWritesOf(t.seeded.inForce, t.inForceSettings(), NoteInForce)
 	if t.allReplicasKnowZones() {
-		t.seeded.zonesInForce = t.released(t.seeded.zonesInForce, t.zonesSettings(), NoteZonesInForce)
+		t.seeded.zonesInForce = t.releaseWritesOf(t.seeded.zonesInForce, t.zonesSettings(), NoteZonesInForce)
 	}
 }
 
-// released sends the answers of one kind that need not wait any more.
-func (t *transition) released(s inforce.State, set inforce.Settings, kind NoteKind) inforce.State {
-	if s.Waiting() == 0 {
-		return s
+// releaseWritesOf answers the released writes of one kind: route tables or drained zones.
+func (t *transition) releaseWritesOf(state inforce.State, settings inforce.Settings, kind NoteKind) inforce.State {
+	if state.Waiting() == 0 {
+		return state
 	}
-	next, released := s.Release(set, t.inForceView(), t.now)
+	next, released := state.Release(settings, t.inForceView(), t.now)
 	for _, a := range released {
 		t.note(kind, a.ID, fmt.Sprintf("version=%d after=%s waited_for=%s", a.Version, a.After, a.WaitedFor))
 		if a.To == t.settings.ID {
-			t.writeAnswered(a.ID, a.Result)
+			t.handleWriteAnswered(a.ID, a.Result)
 			continue
 		}
 		t.send(a.To, WriteAnswered{ID: a.ID, Result: a.Result})
@@ -91,31 +94,29 @@
 	return next
 }
 
-// awaitInForceReceived holds the answer to a write whose table another replica knows to
-// be committed.
-func (t *transition) awaitInForceReceived(from ident.Host, m AwaitInForce) {
+// handleAwaitInForce holds the answer to a write that another replica knows to be committed.
+func (t *transition) handleAwaitInForce(from ident.Host, m AwaitInForce) {
 	held := zonesVersion(t.catalog.Zones.Revision)
 	if t.raft.Role() != raft.Leader || t.catalog.Config.Version < m.Version || held < m.Zones {
 		return
 	}
 	if m.Zones > 0 {
-		t.holdAnswer(inforce.Answer{ID: m.ID, To: from, Version: m.Zones, Result: t.acknowledged()}, true)
+		t.holdWrite(inforce.Answer{ID: m.ID, To: from, Version: m.Zones, Result: t.successResult()}, true)
 		return
 	}
-	t.holdAnswer(inforce.Answer{ID: m.ID, To: from, Version: m.Version, Result: t.acknowledged()}, false)
+	t.holdWrite(inforce.Answer{ID: m.ID, To: from, Version: m.Version, Result: t.successResult()}, false)
 }
 
-// awaitInForce waits for what answers a write, which is committed, to be in force: its
-// table, or the drained zones.
+// awaitInForce waits until the table or the drained zones of a committed write are in force.
 func (t *transition) awaitInForce(p pendingWrite) {
 	ofZones := changesZone(p.write)
 	if p.inForce == 0 {
 		p.inForce = t.committedVersion(p.write)
 	}
-	p.resend = t.now.Add(resendInterval)
+	p.resendAt = t.now.Add(resendInterval)
 	t.writes = t.writes.With(p.write.ID, p)
 	if t.raft.Role() == raft.Leader {
-		t.holdAnswer(inforce.Answer{ID: p.write.ID, To: t.settings.ID, Version: p.inForce, Result: t.acknowledged()}, ofZones)
+		t.holdWrite(inforce.Answer{ID: p.write.ID, To: t.settings.ID, Version: p.inForce, Result: t.successResult()}, ofZones)
 		return
 	}
 	m := AwaitInForce{ID: p.write.ID, Version: p.inForce}
@@ -127,7 +128,8 @@
 	}
 }
 
-// committedVersion is the version by which package inforce counts what a write leads to.
+// committedVersion returns the version, as package inforce numbers it, that must be in force
+// before a committed write is answered.
 func (t *transition) committedVersion(w catalog.Write) config.Version {
 	if changesZone(w) {
 		return zonesVersion(t.catalog.Zones.Revision)
@@ -135,16 +137,18 @@
 	return t.catalog.Config.Version
 }
 
-// acknowledged is the answer to a write that is in force.
-func (t *transition) acknowledged() catalog.Result {
+// successResult returns the result of a write that is in force.
+func (t *transition) successResult() catalog.Result {
 	return catalog.Result{Code: catalog.OK, Version: t.catalog.Config.Version, Zones: t.catalog.Zones.Revision}
 }
 
-// takesForce tells whether a write is answered only once what it leads to is in force.
-func (t *transition) takesForce(w catalog.Write) bool { return t.changesTable(w) || changesZone(w) }
+// mustBeInForce reports whether a write is answered only once its change is in force.
+func (t *transition) mustBeInForce(w catalog.Write) bool {
+	return t.changesRouteTable(w) || changesZone(w)
+}
 
-// changesTable tells whether a write changes the route table of a seeded fleet.
-func (t *transition) changesTable(w catalog.Write) bool {
+// changesRouteTable reports whether a write changes the route table of a seeded fleet.
+func (t *transition) changesRouteTable(w catalog.Write) bool {
 	edit, _ := w.Command.(catalog.Edit)
 	switch edit.Change.(type) {
 	case config.PutRouteTable, config.PatchRouteTable:
--- a/core/host/layout.go
+++ b/core/host/layout.go
@@ -11,101 +11,101 @@
 	"github.com/yardhall/yardhall/core/routing"
 )
 
-// layout is the division of targets into groups at one configuration version.
+// layout divides the targets of one configuration version into groups.
 type layout struct {
 	version config.Version
-	// owners is the division's owners as last seen.
-	owners   map[routing.GroupID]ident.Host
-	services map[ident.Service][]groupPart
-	groupOf  map[ident.Target]routing.GroupID
+	// owners holds the owner of each group as last computed.
+	owners          map[routing.GroupID]ident.Host
+	groupsByService map[ident.Service][]targetGroup
+	groupOf         map[ident.Target]routing.GroupID
 }
 
-// groupPart is one group of a service.
-type groupPart struct {
+// targetGroup is one group of a service's targets.
+type targetGroup struct {
 	id      routing.GroupID
 	key     hash.Key
 	targets []config.Target
-	// holders counts the targets that hold a model.
-	holders map[ident.Model]int
+	// modelHolders counts the targets that hold a model.
+	modelHolders map[ident.Model]int
 }
 
-// newLayout divides the targets of each service and zone into groups. The
-// shard of a target moves only when the number of shards changes, and then
-// only for the part that rendezvous gives to the new shard.
+// newLayout divides the targets of each service and zone into groups. Targets change their
+// shard only when the number of shards does, and then only those that rendezvous hashing
+// assigns to another shard.
 func newLayout(cfg config.Config) layout {
 	l := layout{
-		version: cfg.Version, services: map[ident.Service][]groupPart{},
+		version: cfg.Version, groupsByService: map[ident.Service][]targetGroup{},
 		groupOf: map[ident.Target]routing.GroupID{},
 	}
 	counts := map[routing.GroupID]int{}
 	for _, t := range cfg.Targets.All() {
 		counts[routing.GroupID{Service: t.Service, Zone: t.Zone}]++
 	}
-	parts := map[routing.GroupID][]config.Target{}
+	targetsByGroup := map[routing.GroupID][]config.Target{}
 	for _, t := range cfg.Targets.All() {
 		id := routing.GroupID{Service: t.Service, Zone: t.Zone}
 		id.Shard = shardOf(t.ID, (counts[id]+groupSize-1)/groupSize)
-		parts[id] = append(parts[id], t)
+		targetsByGroup[id] = append(targetsByGroup[id], t)
 		l.groupOf[t.ID] = id
 	}
-	for id, targets := range parts {
-		part := groupPart{id: id, key: hash.Of(id.String()), targets: targets, holders: map[ident.Model]int{}}
+	for id, targets := range targetsByGroup {
+		group := targetGroup{id: id, key: hash.Of(id.String()), targets: targets, modelHolders: map[ident.Model]int{}}
 		for _, t := range targets {
 			for _, m := range t.Models {
-				part.holders[m]++
+				group.modelHolders[m]++
 			}
 		}
-		l.services[id.Service] = append(l.services[id.Service], part)
+		l.groupsByService[id.Service] = append(l.groupsByService[id.Service], group)
 	}
-	for _, ps := range l.services {
-		slices.SortFunc(ps, func(a, b groupPart) int { return a.id.Compare(b.id) })
+	for _, groups := range l.groupsByService {
+		slices.SortFunc(groups, func(a, b targetGroup) int { return a.id.Compare(b.id) })
 	}
 	return l
 }
 
 func shardOf(t ident.Target, shards int) int {
-	best, top := 0, uint64(0)
+	best, bestScore := 0, uint64(0)
 	key := hash.Of(string(t))
 	for s := range shards {
-		if score := hash.Mix(key, hash.Key(s+1)); score >= top {
-			best, top = s, score
+		if score := hash.Mix(key, hash.Key(s+1)); score >= bestScore {
+			best, bestScore = s, score
 		}
 	}
 	return best
 }
 
-// ownersChanged works out the groups' owners anew, takes up those that are now
-// ours, drops those that are not, and tells new owners of places held.
-func (t *transition) ownersChanged() {
+// updateOwners recomputes the owners of all groups. It takes over the groups that this host now
+// owns, hands over those it has lost, and reports held permits to new owners.
+func (t *transition) updateOwners() {
 	old := t.layout.owners
 	owners := map[routing.GroupID]ident.Host{}
-	for _, parts := range t.layout.services {
-		for _, p := range parts {
+	for _, groups := range t.layout.groupsByService {
+		for _, p := range groups {
 			if owner, ok := t.ownerOf(p.id); ok {
 				owners[p.id] = owner
 			}
 		}
 	}
 	t.layout.owners = owners
-	for _, p := range t.sortedParts() {
+	for _, p := range t.sortedGroups() {
 		if owners[p.id] == old[p.id] {
 			continue
 		}
-		t.ownerMoved(p, owners[p.id])
+		t.ownerChanged(p, owners[p.id])
 	}
 	t.refreshGroups()
 }
 
-func (t *transition) sortedParts() []groupPart {
-	var out []groupPart
-	for _, parts := range t.layout.services {
-		out = append(out, parts...)
+func (t *transition) sortedGroups() []targetGroup {
+	var out []targetGroup
+	for _, groups := range t.layout.groupsByService {
+		out = append(out, groups...)
 	}
-	slices.SortFunc(out, func(a, b groupPart) int { return a.id.Compare(b.id) })
+	slices.SortFunc(out, func(a, b targetGroup) int { return a.id.Compare(b.id) })
 	return out
 }
 
-func (t *transition) ownerMoved(p groupPart, owner ident.Host) {
+func (t *transition) ownerChanged(p targetGroup, owner ident.Host) {
 	if owner == t.settings.ID {
 		g := routing.NewGroup(p.id, t.now).WithChatBound(t.settings.Chats)
 		if backup, ok := t.backups.Get(p.id.String()); ok {
--- a/core/host/loadsums.go
+++ b/core/host/loadsums.go
@@ -12,55 +12,56 @@
 )
 
 const (
-	// minSumInterval and sumIntervalPerHost bound how long sums are used. Chosen, not
-	// measured: at 300 hosts they are added up about seven times a second.
+	// minSumInterval and sumIntervalPerHost bound how long a sum is reused, so that replies to
+	// many polls share one.
 	minSumInterval     = 50 * time.Millisecond
 	sumIntervalPerHost = 500 * time.Microsecond
-	// sumWarmUp is how long a replica that starts is polled before it reports sums, which
-	// would lack those that have not polled yet.
+	// sumWarmUp is how long a replica is polled after its start before it reports sums, which
+	// would lack the hosts that have not polled yet.
 	sumWarmUp = 2 * maxPollInterval
 )
 
-// loadSums are the loads of all clients. They are added up anew after a while, not for
-// each poll.
+// loadSums are the loads of all clients. They are recomputed at intervals rather than for each
+// poll.
 type loadSums struct {
 	at    time.Time
 	total loads.Digest
-	// parts are what each host reported when they were added up; never changed in place.
-	parts map[ident.Host]loads.Digest
-	// serving is the number of entry hosts.
-	serving int
+	// byHost holds what each host had reported when the sum was computed. It is never modified
+	// in place.
+	byHost map[ident.Host]loads.Digest
+	// entryHosts is the number of entry hosts.
+	entryHosts int
 }
 
-// others are the loads of all hosts but one, and of those outside the sum.
-func (s loadSums) others(but ident.Host, outside loads.Digest) loads.Digest {
-	rest := s.total.Without(s.parts[but])
+// excluding returns the loads of all hosts but one, plus those outside the sum.
+func (s loadSums) excluding(host ident.Host, outside loads.Digest) loads.Digest {
+	rest := s.total.Without(s.byHost[host])
 	if len(outside) == 0 {
 		return rest
 	}
 	return loads.Sum(slices.Values([]loads.Digest{rest, outside}))
 }
 
-// sumLoads returns the sums, added up anew where they are too old, and drops the clients
-// that poll no more.
+// sumLoads returns the sums, recomputed if they are too old. It then also drops the clients
+// that have stopped polling.
 func (t *transition) sumLoads() loadSums {
 	interval := max(minSumInterval, time.Duration(t.seeded.clients.Len())*sumIntervalPerHost)
 	if t.now.Sub(t.seeded.sums.at) < interval {
 		return t.seeded.sums
 	}
-	next := loadSums{at: t.now, parts: map[ident.Host]loads.Digest{}}
+	next := loadSums{at: t.now, byHost: map[ident.Host]loads.Digest{}}
 	for id, c := range t.seeded.clients.All() {
 		if !c.live(t.now) {
 			t.seeded.clients = t.seeded.clients.Without(id)
 			continue
 		}
-		next.parts[id] = c.loads
+		next.byHost[id] = c.loads
 	}
 	if t.settings.Serves {
-		next.parts[t.settings.ID] = t.requests.Loads(t.now)
+		next.byHost[t.settings.ID] = t.requests.Loads(t.now)
 	}
-	next.serving = len(t.liveEntryHosts())
-	next.total = loads.Sum(maps.Values(next.parts))
+	next.entryHosts = len(t.liveEntryHosts())
+	next.total = loads.Sum(maps.Values(next.byHost))
 	t.seeded.sums = next
 	return next
 }
--- a/core/host/membership.go
+++ b/core/host/membership.go
@@ -8,8 +8,8 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// tickMembers asks to be taken in, and changes the member list, where package membership
-// decides so.
+// tickMembers requests to join and changes the list of members when package membership decides
+// so.
 func (t *transition) tickMembers() {
 	next, due := t.seeded.membership.RequestDue(t.raft, t.started, t.now)
 	t.seeded.membership = next
@@ -24,7 +24,7 @@
 	}
 }
 
-// requestJoin asks every replica known to be taken in; the leader does it.
+// requestJoin sends a join request to every known replica. Only the leader acts on it.
 func (t *transition) requestJoin() {
 	for _, h := range append(t.knownReplicas(), t.memberAddresses()...) {
 		if h != t.settings.ID {
@@ -33,9 +33,10 @@
 	}
 }
 
-// joinRequested remembers a request, and passes one of the replica itself on to the leader: a
-// replica whose disk was lost knows the seeds alone, and the leader may be none of them.
-func (t *transition) joinRequested(from ident.Host, m Join) {
+// handleJoin records a join request, and forwards one that comes from the replica itself to
+// the leader: a replica that lost its disk knows only the seeds, and the leader may not be one
+// of them.
+func (t *transition) handleJoin(from ident.Host, m Join) {
 	t.seeded.membership = t.seeded.membership.WithRequest(m.Identity, t.now)
 	leader := t.raft.Leader().Address()
 	if leader != "" && leader != t.settings.ID && from == m.Identity.Address() {
--- a/core/host/message.go
+++ b/core/host/message.go
@@ -16,22 +16,22 @@
 	"github.com/yardhall/yardhall/core/zones"
 )
 
-// Message is what hosts send each other. The set is closed.
+// Message is a message between hosts. The set is closed.
 type Message interface{ message() }
 
 type (
-	// Raft carries a message of the replicated log. From and To name replicas
-	// by their disks in a seeded fleet and are empty elsewhere.
+	// Raft carries a message of the replicated log. In a seeded fleet From and To are replica
+	// identities, which include the disk; elsewhere they are empty.
 	Raft struct {
 		From    ident.Host
 		To      ident.Host
 		Message raft.Message
-		// KnowsZones is set by programs that know of drained zones.
+		// KnowsZones is set by versions that support drained zones.
 		KnowsZones bool
 	}
-	// PeerHeartbeat is a host's heartbeat.
+	// PeerHeartbeat carries a host's heartbeat.
 	PeerHeartbeat struct{ Beat Heartbeat }
-	// RequestPermit asks a group's owner for a place.
+	// RequestPermit requests a permit from a group's owner.
 	RequestPermit struct {
 		Group   routing.GroupID
 		Place   ident.PermitID
@@ -40,186 +40,188 @@
 		Model   ident.Model
 		Chat    hash.Key
 		Work    int64
-		// Within is the time left; hosts' clocks may differ.
+		// Within is the time left until the deadline. It is relative because hosts' clocks may
+		// differ.
 		Within  time.Duration
 		Exclude []ident.Target
-		// Final is set where another group has sent the request on.
+		// Final is set if the request was redirected here by another group.
 		Final bool
 	}
-	// PermitReply answers AskPlace, perhaps twice: Queued, then the end.
+	// PermitReply replies to a RequestPermit, possibly twice: with Queued and then with the
+	// result.
 	PermitReply struct {
 		Place  ident.PermitID
 		Answer routing.Answer
 	}
-	// NotOwner says that the receiver of AskPlace does not own the group.
+	// NotOwner reports that the receiver of a RequestPermit does not own the group.
 	NotOwner struct{ Place ident.PermitID }
-	// ReleasePermit gives a place back, or takes a request out of the queue.
+	// ReleasePermit releases a permit, or removes a request from the queue.
 	ReleasePermit struct{ Place ident.PermitID }
-	// AdoptPermits tells a new owner of the places its router holds.
+	// AdoptPermits reports to a new owner the permits that the sending router holds.
 	AdoptPermits struct {
 		Group   routing.GroupID
 		Permits []routing.Permit
 	}
-	// AdoptChats hands over what an owner remembers of chats.
+	// AdoptChats hands over the chat locations that an owner has recorded.
 	AdoptChats struct {
 		Group routing.GroupID
 		Chats []routing.Chat
 	}
-	// FetchAnswer asks the host that ran a request for its answer, for a resend
-	// that another host has taken.
+	// FetchAnswer requests the answer of an earlier request from the host that ran it, for a
+	// retry received by another host.
 	FetchAnswer struct {
 		Request ident.Request
 		For     ident.Request
 	}
-	// AnswerOf answers FetchAnswer; Answer is nil where it is not kept.
+	// AnswerOf replies to a FetchAnswer. Answer is nil if it is not kept.
 	AnswerOf struct {
 		For    ident.Request
 		Answer *Answer
 	}
-	// Follow asks for configuration after Version.
+	// Follow requests the configuration changes after Version.
 	Follow struct {
 		Host    config.Host
 		Version config.Version
 	}
-	// Changes answers Follow with what came after Version.
+	// Changes replies to a Follow with the changes after Version.
 	Changes struct {
 		// Leader is the leader known to the sender, or "".
 		Leader ident.Host
-		// Fresh is true where a leader with a lease answers.
+		// Fresh is set if the sender is a leader with a lease.
 		Fresh   bool
 		Version config.Version
 		Deltas  []catalog.Delta
 	}
-	// WholeConfig answers a Follow from too far behind.
+	// WholeConfig replies to a Follow whose version is too old for Changes.
 	WholeConfig struct {
 		Leader   ident.Host
 		Fresh    bool
 		Document config.Document
 	}
-	// ForwardWrite hands a write to the leader; Packed is its log data.
+	// ForwardWrite forwards a write to the leader. Packed is the encoded log entry.
 	ForwardWrite struct {
 		ID     string
 		Packed []byte
 	}
-	// WriteAnswered returns what became of a forwarded write.
+	// WriteAnswered returns the result of a forwarded write.
 	WriteAnswered struct {
 		ID     string
 		Result catalog.Result
 	}
-	// Poll is what a host of a seeded fleet reports to a replica, a hub or a fallback peer,
-	// and what it asks for. Its fields travel by their names, so they keep them.
+	// Poll is what a host of a seeded fleet reports to and requests from a replica, a hub or a
+	// fallback peer. Gob identifies its fields by name, so they must not be renamed.
 	Poll struct {
-		// Round numbers the poll; the reply repeats it.
+		// Round is the number of the poll, which the reply repeats.
 		Round uint64
-		// Version is the route table that the host holds.
+		// Version is the version of the route table that the host holds.
 		Version config.Version
-		// Lead asks for a confirmation, Table for the route table, Sums for the loads of
-		// all hosts.
+		// Lead requests a confirmation, Table the route table, and Sums the loads of all hosts.
 		Lead  bool
 		Table bool
 		Sums  bool
 		// Boot is the incarnation of the host.
 		Boot uint64
-		// Epoch and Revision are what the host has of the receiver's registry.
+		// Epoch and Revision tell how much of the receiver's registry the host has.
 		Epoch    uint64
 		Revision uint64
-		// Serves is set where the host takes callers' requests.
+		// Serves is set if the host accepts callers' requests.
 		Serves bool
-		// Loads are the requests that the host has at workers; a hub's with those of the
-		// hosts that it counts.
+		// Loads are the host's requests at workers; a hub includes those of the hosts that it
+		// counts.
 		Loads loads.Digest
-		// Relay is where the host takes workers' heartbeats; Beats are the packed
-		// workers whose heartbeats it took since its last report.
+		// Relay is where the host accepts workers' heartbeats. Beats are the packed workers
+		// whose heartbeats it has accepted since its last report.
 		Relay string
 		Beats []byte
 		Zone  ident.Zone
-		// Leaves deregisters the host, which polls others from now on; nothing else is
-		// set then.
+		// Leaves deregisters the host, which now polls others. No other field but Boot is set
+		// then.
 		Leaves bool
-		// Home is set where the receiver is the host's primary hub.
+		// Home is set if the receiver is the host's primary hub.
 		Home bool
-		// HubList names the list of hubs that the host holds, NeighbourList that of its
+		// HubList is the key of the host's list of hubs, NeighbourList that of its list of
 		// fallback peers.
 		HubList       hash.Key
 		NeighbourList hash.Key
-		// Neighbour is set where a fallback peer is polled in place of replicas.
+		// Neighbour is set if the receiver is polled as a fallback peer.
 		Neighbour bool
-		// InForce is the oldest table by which the host, or any that it granted a lease,
-		// may serve.
+		// InForce is the oldest route table that the host, or any host it granted a lease, may
+		// still apply.
 		InForce config.Version
-		// Grouped is set where Group, the hosts that this hub counts, is reported.
+		// Grouped is set if Group, the hosts that this hub counts, is reported.
 		Grouped bool
 		Group   []hubs.Host
-		// Replaced are workers at whose address another process answered lately.
+		// Replaced are workers at whose address another process recently answered.
 		Replaced []ReplacedWorker
-		// Crashes are requests that were in progress at workers that ended lately.
+		// Crashes are the requests that were in progress at workers that recently crashed.
 		Crashes []CrashReport
-		// CrashList names the list of crashes that the host holds, CrashEntries is that
-		// list where the receiver holds another one.
+		// CrashList is the key of the host's crash list. CrashEntries is the list if the
+		// receiver holds a different one.
 		CrashList    hash.Key
 		CrashEntries []CrashEntry
-		// KnowsZones is set by programs that know of drained zones; Zones is the revision of
-		// them that the host holds, ZonesInForce the oldest one by which it, or any that it
-		// granted a lease, may serve, as package inforce counts them.
+		// KnowsZones is set by versions that support drained zones. Zones is the revision of
+		// the drained zones that the host holds. ZonesInForce is the oldest revision that it,
+		// or any host it granted a lease, may still apply, as numbered by zonesVersion.
 		KnowsZones   bool
 		Zones        uint64
 		ZonesInForce config.Version
 	}
-	// PollReply replies to a Poll, or is an update with Round 0. Its fields travel by
-	// their names, so they keep them.
+	// PollReply replies to a Poll; with Round 0 it is an unsolicited update. Gob identifies its
+	// fields by name, so they must not be renamed.
 	PollReply struct {
 		Round  uint64
 		Leader ident.Host
-		// Fresh is set where Version is confirmed: by a leader with a lease, or passed on
-		// with its Age.
+		// Fresh is set if Version is confirmed as the newest, by a leader with a lease or by a
+		// forwarded confirmation of the given Age.
 		Fresh   bool
 		Version config.Version
-		// Gateway is the packed route table of Version, where it is sent; where Base is
-		// set, the packed delta from the table of that version.
+		// Gateway is the packed route table of Version, if it is sent. If Base is set, it is
+		// the packed delta from the table of version Base.
 		Gateway []byte
 		Base    config.Version
-		// Epoch is the incarnation of the sender, whose registry Revision counts; Workers
-		// are the packed registrations from Since to Revision.
+		// Epoch is the incarnation of the sender, and Revision the revision of its registry.
+		// Workers are the packed registrations after Since up to Revision.
 		Epoch    uint64
 		Since    uint64
 		Revision uint64
 		Workers  []byte
 		Replicas []ident.Host
-		// Summed is set where Loads are the requests of all other hosts.
+		// Summed is set if Loads are the requests of all other hosts.
 		Summed bool
 		Loads  loads.Digest
-		// Hosts is how many entry hosts there are.
+		// Hosts is the number of entry hosts.
 		Hosts int
-		// HubList names the list of the fleet's hubs, 0 for none known; Hubs are they,
-		// where the client holds another list.
+		// HubList is the key of the list of hubs, 0 if it is not known. Hubs is the list if the
+		// client holds a different one.
 		HubList hash.Key
 		Hubs    []hubs.Host
-		// NeighbourList names the list of fallback peers, Neighbours are they, where the
-		// client holds another list.
+		// NeighbourList is the key of the list of fallback peers. Neighbours is the list if the
+		// client holds a different one.
 		NeighbourList hash.Key
 		Neighbours    []hubs.Host
-		// Neighbour is set where a fallback peer replies in place of replicas.
+		// Neighbour is set if the sender replies as a fallback peer.
 		Neighbour bool
-		// Age and LoadsAge are how old a hub's confirmation and Loads are; 0 at a replica.
-		// Cut is set where a hub has no replies of replicas.
+		// Age and LoadsAge are the ages of a hub's confirmation and Loads, 0 from a replica.
+		// Cut is set if the sending hub gets no replies from replicas.
 		Age      time.Duration
 		LoadsAge time.Duration
 		Cut      bool
-		// CrashList names the list of crashes of the sender, CrashEntries is that list where
-		// the client holds another one.
+		// CrashList is the key of the sender's crash list. CrashEntries is the list if the
+		// client holds a different one.
 		CrashList    hash.Key
 		CrashEntries []CrashEntry
 		// Zones are the drained zones that the sender holds.
 		Zones zones.Drained
 	}
-	// AwaitInForce asks the leader to answer a write once a table, which is committed, is
-	// in force; with Zones, once drained zones are, as package inforce counts them.
+	// AwaitInForce asks the leader to answer a write once the committed route table of Version
+	// is in force, or, if Zones is set, once that revision of the drained zones is, as numbered
+	// by zonesVersion.
 	AwaitInForce struct {
 		ID      string
 		Version config.Version
 		Zones   config.Version
 	}
-	// Join asks the leader to take a replica in.
+	// Join asks the leader to add a replica.
 	Join struct{ Identity ident.Host }
 	// ReadRequest asks the leader for the newest version.
 	ReadRequest struct{ ID string }
@@ -252,25 +254,25 @@
 func (ForwardWrite) message()  {}
 func (WriteAnswered) message() {}
 
-// Heartbeat is what a host says of itself once per interval.
+// Heartbeat is the state that a host reports to all others once per interval.
 type Heartbeat struct {
 	Host        ident.Host
 	Incarnation uint64
 	Counter     uint64
 	Version     config.Version
-	// Draining is true in a planned stop; a draining host owns no group.
+	// Draining is set during a planned stop. A draining host owns no groups.
 	Draining bool
-	// Serves is true where it takes callers' requests.
+	// Serves is set if the host accepts callers' requests.
 	Serves bool
 	Zone   ident.Zone
 	Loads  []routing.GroupLoad
-	// Leaving are targets that said so to this host.
+	// Leaving are targets that reported to this host that they are stopping.
 	Leaving []ident.Target
-	// Lost are targets of its own groups that have not answered for long.
+	// Lost are targets of the host's own groups that have stopped answering.
 	Lost []ident.Target
-	// Crashes are requests that were in progress at targets that ended lately; CrashList
-	// names the list of crashes that the host holds, CrashEntries is that list where another
-	// host holds another one.
+	// Crashes are the requests that were in progress at targets that recently crashed.
+	// CrashList is the key of the host's crash list. CrashEntries is the list if another host
+	// holds a different one.
 	Crashes      []CrashReport
 	CrashList    hash.Key
 	CrashEntries []CrashEntry
--- a/core/host/owner.go
+++ b/core/host/owner.go
@@ -25,7 +25,7 @@
 
 // refreshGroups brings the owned groups' engines to configuration and health.
 func (t *transition) refreshGroups() {
-	for _, p := range t.sortedParts() {
+	for _, p := range t.sortedGroups() {
 		g, ok := t.groups.Get(p.id.String())
 		if !ok {
 			continue
@@ -53,7 +53,7 @@
 	}
 	t.probeAt = t.now.Add(probeInterval)
 	t.refreshGroups()
-	for _, p := range t.sortedParts() {
+	for _, p := range t.sortedGroups() {
 		if !t.groups.Has(p.id.String()) {
 			continue
 		}
--- a/core/host/peers.go
+++ b/core/host/peers.go
@@ -12,13 +12,12 @@
 )
 
 const (
-	// heartbeatInterval is the time between two heartbeats of a host. Chosen, not measured.
+	// heartbeatInterval is the time between two heartbeats of a host.
 	heartbeatInterval = time.Second
-	// peerTimeout without a new heartbeat makes a host count as gone. Chosen, not measured.
+	// peerTimeout is how long after its last heartbeat a host is considered down.
 	peerTimeout = 3 * time.Second
-	// suspectAfter is the same for a host that has left a request unanswered.
-	// Chosen, not measured.
-	suspectAfter = 1300 * time.Millisecond
+	// suspectTimeout is the same for a host that has left a request unanswered.
+	suspectTimeout = 1300 * time.Millisecond
 )
 
 // peer is what is known of another host.
@@ -31,7 +30,7 @@
 func (t *transition) tickPeers() {
 	for id, p := range t.peers.All() {
 		if p.alive && t.now.Sub(p.lastHeartbeat) > peerTimeout {
-			t.peerDown(id, p)
+			t.markPeerDown(id, p)
 		}
 	}
 	if t.now.Before(t.heartbeatAt) && !t.crashHeartbeatDue() {
@@ -42,29 +41,30 @@
 	t.backUpChats()
 }
 
-func (t *transition) peerDown(id ident.Host, p peer) {
+func (t *transition) markPeerDown(id ident.Host, p peer) {
 	p.alive = false
 	t.peers = t.peers.With(id, p)
 	t.gatherLoads()
 	t.note(NoteHostDown, string(id), "")
 	t.dropRouter(id, 0)
-	t.ownersChanged()
+	t.updateOwners()
 }
 
-// suspect takes a silent host for gone sooner, once it does not answer either.
-func (t *transition) suspect(id ident.Host) {
-	if p, ok := t.peers.Get(id); ok && p.alive && t.now.Sub(p.lastHeartbeat) > suspectAfter {
-		t.peerDown(id, p)
+// suspectPeer marks a host down that left a request unanswered, if it has also missed
+// heartbeats.
+func (t *transition) suspectPeer(id ident.Host) {
+	if p, ok := t.peers.Get(id); ok && p.alive && t.now.Sub(p.lastHeartbeat) > suspectTimeout {
+		t.markPeerDown(id, p)
 	}
 }
 
-// sendHeartbeats tells every other host that this one lives and what it owns.
+// sendHeartbeats sends this host's state and the loads of its groups to all other hosts.
 func (t *transition) sendHeartbeats() {
 	t.heartbeats++
 	b := Heartbeat{
 		Host: t.settings.ID, Incarnation: t.settings.Incarnation, Counter: t.heartbeats,
 		Version: t.config.Version, Draining: t.draining, Serves: t.settings.Serves,
-		Zone: t.settings.Zone, Loads: t.ownLoads(), Leaving: t.leavingSigns(), Lost: t.lostTargets(),
+		Zone: t.settings.Zone, Loads: t.ownLoads(), Leaving: t.leavingTargets(), Lost: t.lostTargets(),
 	}
 	b = t.withCrashes(b)
 	for _, h := range t.knownHosts() {
@@ -74,8 +74,8 @@
 	}
 }
 
-// knownHosts returns the configured hosts; before there is a configuration,
-// those of the settings.
+// knownHosts returns the configured hosts, or before the first configuration those of the
+// settings.
 func (t *transition) knownHosts() []config.Host {
 	if t.config.Hosts.Len() > 0 {
 		return t.config.Hosts.Values()
@@ -83,7 +83,7 @@
 	return append(append([]config.Host{}, t.settings.Replicas...), t.settings.Neighbours...)
 }
 
-func (t *transition) peerHeartbeat(from ident.Host, b Heartbeat) {
+func (t *transition) handlePeerHeartbeat(from ident.Host, b Heartbeat) {
 	if b.Host != from {
 		return
 	}
@@ -106,11 +106,11 @@
 		t.markLeaving(id)
 	}
 	if !known || !old.alive || old.heartbeat.Draining != b.Draining || old.heartbeat.Incarnation != b.Incarnation {
-		t.ownersChanged()
+		t.updateOwners()
 	}
 }
 
-// mayOwn tells whether a host may own groups as seen from here.
+// mayOwn reports whether a host may own groups as far as this host knows.
 func (t *transition) mayOwn(h config.Host) bool {
 	if !h.Serves {
 		return false
@@ -122,36 +122,36 @@
 	return ok && p.alive && !p.heartbeat.Draining
 }
 
-// ownerOf returns the owner of a group as seen from here: by rendezvous among
-// the live serving hosts of its zone, and only where there is none, of others.
+// ownerOf returns the owner of a group as far as this host knows: by rendezvous hash among the
+// live serving hosts of its zone, or of all zones if its own has none.
 func (t *transition) ownerOf(g routing.GroupID) (ident.Host, bool) {
-	return t.ownerBut(g, "")
+	return t.ownerExcluding(g, "")
 }
 
-// nextOwner returns who would own a group if this host did not.
+// nextOwner returns the host that would own a group if this one did not.
 func (t *transition) nextOwner(g routing.GroupID) (ident.Host, bool) {
-	return t.ownerBut(g, t.settings.ID)
+	return t.ownerExcluding(g, t.settings.ID)
 }
 
-func (t *transition) ownerBut(g routing.GroupID, but ident.Host) (ident.Host, bool) {
-	var near, far []ident.Host
+func (t *transition) ownerExcluding(g routing.GroupID, excluded ident.Host) (ident.Host, bool) {
+	var sameZone, otherZones []ident.Host
 	for _, h := range t.config.Hosts.All() {
 		switch {
-		case !t.mayOwn(h) || h.ID == but:
+		case !t.mayOwn(h) || h.ID == excluded:
 		case h.Zone == g.Zone:
-			near = append(near, h.ID)
+			sameZone = append(sameZone, h.ID)
 		default:
-			far = append(far, h.ID)
+			otherZones = append(otherZones, h.ID)
 		}
 	}
-	if len(near) == 0 {
-		near = far
+	if len(sameZone) == 0 {
+		sameZone = otherZones
 	}
-	return hash.Best(hash.Of(g.String()), near, func(h ident.Host) string { return string(h) })
+	return hash.Best(hash.Of(g.String()), sameZone, func(h ident.Host) string { return string(h) })
 }
 
-// aliveServing counts the hosts that take requests, this one included.
-func (t *transition) aliveServing() int {
+// countServingHosts returns the number of hosts that may own groups, at least 1.
+func (t *transition) countServingHosts() int {
 	n := 0
 	for _, h := range t.config.Hosts.All() {
 		if t.mayOwn(h) {
@@ -161,8 +161,8 @@
 	return max(1, n)
 }
 
-// leavingSigns are the targets that reported to this host that they are stopping.
-func (t *transition) leavingSigns() []ident.Target {
+// leavingTargets returns the targets that reported to this host that they are stopping.
+func (t *transition) leavingTargets() []ident.Target {
 	var out []ident.Target
 	for id, h := range t.health.All() {
 		if h.SaysLeaving(t.now) {
--- a/core/host/place.go
+++ b/core/host/place.go
@@ -42,8 +42,8 @@
 	if key == 0 {
 		key = hash.Of(string(c.req.ID))
 	}
-	for _, p := range t.layout.services[c.service.ID] {
-		n := p.holders[c.req.Model]
+	for _, p := range t.layout.groupsByService[c.service.ID] {
+		n := p.modelHolders[c.req.Model]
 		if n == 0 || t.layout.owners[p.id] == "" || t.emptyGroup(p.id) {
 			continue
 		}
@@ -194,7 +194,7 @@
 // without a permit of the owner.
 func (t *transition) localCandidates(c call) []config.Target {
 	var out []config.Target
-	for _, p := range t.layout.services[c.service.ID] {
+	for _, p := range t.layout.groupsByService[c.service.ID] {
 		if p.id != c.group {
 			continue
 		}
@@ -211,7 +211,7 @@
 
 // localShare is what one host may send to a target without a permit of its owner.
 func (t *transition) localShare(target config.Target) int {
-	return max(1, target.Slots/t.aliveServing())
+	return max(1, target.Slots/t.countServingHosts())
 }
 
 // pickPlain chooses a worker of a plain service: the one with the fewest of
@@ -220,7 +220,7 @@
 	var best config.Target
 	found := false
 	var bestCost int
-	for _, p := range t.layout.services[c.service.ID] {
+	for _, p := range t.layout.groupsByService[c.service.ID] {
 		for _, target := range p.targets {
 			if !t.canUse(target.ID) || slices.Contains(c.tried, target.ID) {
 				continue
--- a/core/host/polling.go
+++ b/core/host/polling.go
@@ -12,67 +12,65 @@
 	"github.com/yardhall/yardhall/core/registry"
 )
 
-// In a seeded fleet hosts know replicas, not each other: each host polls every replica, or
-// in a large fleet two hubs (hub.go), a few times a second, for what it lacks. The leader
-// confirms which route table is the newest; one replica, another one for each host, sends
-// the table, and one the loads of all hosts, so that no replica's link carries all.
-//
-// Inputs of whom to poll, and when: how many entry hosts there are, when each contact
-// replied last and with what, and the present time.
+// In a seeded fleet hosts know the replicas but not each other. Each host polls every replica,
+// or in a large fleet two hubs (hub.go), several times a second. The leader confirms which
+// route table is the newest. One replica, chosen by hash for each host, sends the table, and
+// another one the loads of all hosts, so that this traffic is spread over the replicas.
 const (
-	// minPollInterval and maxPollInterval bound the time between two polls of a replica;
-	// it grows by pollIntervalPerHost for each host that polls replicas, so that replicas
-	// stay within their bytes. Chosen; measured with them: at 300 machines the busiest
-	// replica uses 46 to 55% of a tenth of a core, and several polls fit a key lease.
+	// minPollInterval and maxPollInterval bound the time between two polls of a replica. It
+	// grows by pollIntervalPerHost for each host that polls replicas, which bounds the
+	// replicas' traffic. Several polls must fit into a key lease.
 	minPollInterval     = 300 * time.Millisecond
 	maxPollInterval     = 1400 * time.Millisecond
 	pollIntervalPerHost = 7 * time.Millisecond
-	// leaderTimeoutIntervals polls without a confirmation make a host turn to another
-	// replica, pollAllAfterIntervals to all of them. Chosen, not measured.
+	// After leaderTimeoutIntervals polls without a confirmation a host turns to another
+	// replica; after pollAllAfterIntervals it requests confirmations from all of them.
 	leaderTimeoutIntervals = 3
 	pollAllAfterIntervals  = 2
-	// maxLeaderWait bounds both where intervals are long: half of the default key lease.
+	// maxLeaderWait bounds both waits if intervals are long: half of the default key lease.
 	maxLeaderWait = 2 * time.Second
-	// replicaTimeout without a reply is noted as a lost dependency. Chosen: a little more
-	// than two polls of the largest fleet.
+	// replicaTimeout is how long a contact may leave polls unanswered before it is logged as
+	// lost: a little more than two polls of the largest fleet.
 	replicaTimeout = 3 * time.Second
-	// loadByteTime is kept between two polls for loads, for each byte of the last reply:
-	// 20 kB a second. Chosen, not measured.
+	// loadByteTime is the pause before loads are requested again, for each byte of the last
+	// reply: 20 kB/s.
 	loadByteTime = 50 * time.Microsecond
-	// roundBits leaves room for the polls that a process may send before its numbers meet
-	// those of one that starts a millisecond later.
-	roundBits = 20
-	// maxRounds bounds the unanswered polls remembered: some seconds of them.
-	maxRounds = 32
+	// pollNumberBits is the number of low bits of a poll number that count the polls of a
+	// process; the bits above hold its incarnation, in milliseconds. A process that starts a
+	// millisecond later thus uses other numbers.
+	pollNumberBits = 20
+	// maxPendingPolls bounds the unanswered polls that are remembered.
+	maxPendingPolls = 32
 )
 
-// contact is a replica or a hub as the host that polls it sees it.
+// contact is a replica, hub or fallback peer polled by this host.
 type contact struct {
-	// epoch and revision tell how far its registry is known.
+	// epoch and revision are the contact's incarnation and the revision up to which its
+	// registry is known.
 	epoch    uint64
 	revision uint64
-	// lastReply is when it replied last, lastUsefulReply when it did so while it was
-	// itself in touch with replicas.
+	// lastReply is when it last replied, lastUsefulReply when it last did so while it was
+	// itself in contact with the replicas.
 	lastReply       time.Time
 	lastUsefulReply time.Time
 	lost            bool
-	// crashList names the list of crashes that it held then.
+	// crashList is the key of the crash list in its last reply.
 	crashList hash.Key
 }
 
-// tickPolls polls where that is due.
+// tickPolls sends polls if they are due.
 func (t *transition) tickPolls() {
 	if !t.settings.Serves || t.now.Before(t.seeded.pollAt) && !t.inForceReportDue() && !t.zonesReportDue() && !t.crashReportDue() {
 		return
 	}
 	t.seeded.pollAt = t.now.Add(t.pollInterval())
-	t.renewHubs()
+	t.updateHubPollSet()
 	t.forgetCrashes()
 	hosts := t.hostsToPoll()
-	t.pickLeaderContact(hosts)
-	t.noteLostReplicas(hosts)
-	t.deregisterElsewhere(hosts)
-	heartbeats := t.heartbeatsFor(hosts)
+	t.updateLeaderContact(hosts)
+	t.markLostContacts(hosts)
+	t.deregisterFromUnpolled(hosts)
+	heartbeats := t.dequeueHeartbeats(hosts)
 	group, grouped := []hubs.Host(nil), false
 	if t.isHub() {
 		group, grouped = t.groupReport()
@@ -81,7 +79,7 @@
 	t.noteAnswers()
 	replaced, crashed, answered := t.replacedReport(), t.crashReport(), t.answerEntries()
 	for _, h := range hosts {
-		m := t.poll(h)
+		m := t.buildPoll(h)
 		m.InForce, m.ZonesInForce, m.Replaced, m.Crashes = inForce, zonesInForce, replaced, crashed
 		m.CrashEntries = append(m.CrashEntries, answered...)
 		m.Beats, m.Group, m.Grouped = registry.Pack(heartbeats[h]), group, grouped
@@ -94,7 +92,7 @@
 	}
 }
 
-// knownReplicas are the addresses of members and seeds.
+// knownReplicas returns the addresses of the members and the seeds.
 func (t *transition) knownReplicas() []ident.Host {
 	out := slices.Clone(t.seeded.replicas)
 	for _, s := range t.settings.Seeds {
@@ -105,13 +103,13 @@
 	return out
 }
 
-// hostsToPoll are replicas, or the hubs picked and, where these are of no use, now and then
-// replicas too.
+// hostsToPoll returns the replicas, or the chosen hubs. While all hubs fail, it adds the
+// replicas every maxPollInterval.
 func (t *transition) hostsToPoll() []ident.Host {
 	if !t.pollsHubs() {
 		return t.knownReplicas()
 	}
-	out := t.seeded.hub.choice.Polled()
+	out := t.seeded.hub.pollSet.Polled()
 	if t.hubsFailed() && !t.now.Before(t.seeded.hub.pollReplicasAt) {
 		t.seeded.hub.pollReplicasAt = t.now.Add(maxPollInterval)
 		out = append(out, t.knownReplicas()...)
@@ -119,7 +117,8 @@
 	return out
 }
 
-// pollInterval is the time between two polls.
+// pollInterval returns the time between two polls, which grows with the number of hosts that
+// poll replicas.
 func (t *transition) pollInterval() time.Duration {
 	polling := t.seeded.hosts
 	if n := t.seeded.hub.list.Len(); n > 0 {
@@ -128,8 +127,8 @@
 	return min(max(minPollInterval, time.Duration(polling)*pollIntervalPerHost), maxPollInterval)
 }
 
-// pickLeaderContact turns to the next replica where the present one confirms nothing.
-func (t *transition) pickLeaderContact(hosts []ident.Host) {
+// updateLeaderContact switches to the next replica if the current one confirms nothing.
+func (t *transition) updateLeaderContact(hosts []ident.Host) {
 	s := &t.seeded
 	if len(hosts) == 0 || t.pollsHubs() {
 		return
@@ -142,8 +141,8 @@
 	s.leaderContact = hosts[s.leaderPicks%len(hosts)]
 }
 
-// noteLostReplicas logs the hosts polled that have not replied for long.
-func (t *transition) noteLostReplicas(polled []ident.Host) {
+// markLostContacts marks and logs the polled hosts that have stopped replying.
+func (t *transition) markLostContacts(polled []ident.Host) {
 	for _, h := range polled {
 		c, ok := t.seeded.contacts.Get(h)
 		if ok && !c.lost && t.now.Sub(c.lastReply) > replicaTimeout {
@@ -154,8 +153,8 @@
 	}
 }
 
-// poll is what this host reports to another one, and what it asks for.
-func (t *transition) poll(to ident.Host) Poll {
+// buildPoll returns a poll of the given host: what this host reports and requests.
+func (t *transition) buildPoll(to ident.Host) Poll {
 	c, _ := t.seeded.contacts.Get(to)
 	primary := t.primaryHub()
 	isLeaderContact := to == t.seeded.leaderContact
@@ -163,10 +162,10 @@
 	return Poll{
 		KnowsZones: true, Zones: t.seeded.zones.Revision,
 		Version: t.config.Version,
-		Lead:    isLeaderContact || t.seeded.hub.choice.Has(to) || pollAll,
+		Lead:    isLeaderContact || t.seeded.hub.pollSet.Has(to) || pollAll,
 		Table:   to == t.tableSource() || isLeaderContact && t.tableOverdue(),
-		Sums:    to == t.loadSource() && !t.now.Before(t.seeded.loadsAt),
-		Epoch:   c.epoch, Revision: c.revision, Serves: t.settings.Serves && !t.draining, Loads: t.loadsFor(to),
+		Sums:    to == t.loadSource() && !t.now.Before(t.seeded.loadsDueAt),
+		Epoch:   c.epoch, Revision: c.revision, Serves: t.settings.Serves && !t.draining, Loads: t.loadsToReport(to),
 		Boot: t.settings.Incarnation, Zone: t.settings.Zone, Relay: t.relayAddress(),
 		Home: primary != "" && to == primary, HubList: t.seeded.hub.list.Key,
 		NeighbourList: t.seeded.fallback.list.Key,
@@ -174,8 +173,8 @@
 	}
 }
 
-// relayAddress is where this host takes workers' heartbeats now; empty for nowhere. A hub
-// has enough to do.
+// relayAddress returns where this host accepts workers' heartbeats, or "" if it does not. Hubs
+// do not, to limit their load.
 func (t *transition) relayAddress() string {
 	if !t.settings.Serves || t.draining || t.seeded.hub.serves {
 		return ""
@@ -183,53 +182,53 @@
 	return t.settings.Relay
 }
 
-// sendPoll numbers a poll and remembers when it was sent.
+// sendPoll numbers and sends a poll and records when it was sent.
 func (t *transition) sendPoll(to ident.Host, m Poll) {
 	s := &t.seeded
-	if s.round == 0 {
-		// Numbers differ from process to process: a late reply to an earlier process of
-		// this host would confirm a table as of a time at which it was older.
-		s.round = t.settings.Incarnation << roundBits
-	}
-	s.round++
-	m.Round = s.round
-	s.rounds = s.rounds.With(s.round, t.now)
-	for s.rounds.Len() > maxRounds {
-		oldest, _, _ := s.rounds.First()
-		s.rounds = s.rounds.Without(oldest)
+	if s.lastPollNumber == 0 {
+		// Poll numbers must differ between processes. Otherwise a late reply to an earlier
+		// process of this host could match a poll of this one and confirm an outdated table.
+		s.lastPollNumber = t.settings.Incarnation << pollNumberBits
+	}
+	s.lastPollNumber++
+	m.Round = s.lastPollNumber
+	s.pendingPolls = s.pendingPolls.With(s.lastPollNumber, t.now)
+	for s.pendingPolls.Len() > maxPendingPolls {
+		oldest, _, _ := s.pendingPolls.First()
+		s.pendingPolls = s.pendingPolls.Without(oldest)
 	}
 	t.send(to, m)
 }
 
-// tableSource is the contact that sends this host route tables.
-func (t *transition) tableSource() ident.Host { return t.sourceOf("table", replicaTimeout) }
+// tableSource returns the contact that sends route tables to this host.
+func (t *transition) tableSource() ident.Host { return t.pickSource("table", replicaTimeout) }
 
-// loadSource is the contact that reports the loads of all hosts to this one. It is left
-// soon where it is silent, as loads age fast.
+// loadSource returns the contact that reports the loads of all hosts to this one. Its timeout
+// is short because loads become outdated quickly.
 func (t *transition) loadSource() ident.Host {
-	return t.sourceOf("loads", leaderTimeoutIntervals*t.pollInterval())
+	return t.pickSource("loads", leaderTimeoutIntervals*t.pollInterval())
 }
 
-// sourceOf picks one of the contacts that replied within a time: another one for each
-// host, so that none serves all of them.
-func (t *transition) sourceOf(what string, within time.Duration) ident.Host {
+// pickSource picks one of the contacts that replied within the timeout, by rendezvous hash of
+// the purpose and this host, so that the hosts spread over the contacts. If none did, it
+// returns the leader contact.
+func (t *transition) pickSource(purpose string, timeout time.Duration) ident.Host {
 	var live []ident.Host
-	for _, h := range t.sources() {
-		if c, ok := t.seeded.contacts.Get(h); ok && t.now.Sub(c.lastReply) <= within {
+	for _, h := range t.sourceCandidates() {
+		if c, ok := t.seeded.contacts.Get(h); ok && t.now.Sub(c.lastReply) <= timeout {
 			live = append(live, h)
 		}
 	}
-	source, ok := hash.Best(hash.Of(what, string(t.settings.ID)), live, func(h ident.Host) string { return string(h) })
+	source, ok := hash.Best(hash.Of(purpose, string(t.settings.ID)), live, func(h ident.Host) string { return string(h) })
 	if !ok {
 		return t.seeded.leaderContact
 	}
 	return source
 }
 
-// sources are the contacts of which one may be the source of something.
-func (t *transition) sources() []ident.Host {
+func (t *transition) sourceCandidates() []ident.Host {
 	if t.pollsHubs() && !t.hubsFailed() {
-		return t.seeded.hub.choice.Polled()
+		return t.seeded.hub.pollSet.Polled()
 	}
 	return t.knownReplicas()
 }
--- a/core/host/pollreply.go
+++ b/core/host/pollreply.go
@@ -14,61 +14,62 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// pollReplied takes the reply of a replica or a hub.
-func (t *transition) pollReplied(from ident.Host, m PollReply) {
+// handlePollReply applies the reply of a replica, a hub or a fallback peer.
+func (t *transition) handlePollReply(from ident.Host, m PollReply) {
 	if m.Neighbour {
-		t.fallbackReplied(from, m)
+		t.handleFallbackReply(from, m)
 		return
 	}
-	t.noteReply(from, m)
-	t.keepRegistrations(t.takeRegistrations(from, m))
+	t.recordReply(from, m)
+	t.storeRegistrations(t.applyRegistrations(from, m))
 	t.takeCrashEntries(from, m.CrashEntries)
-	t.takeHubList(m)
-	t.takeFallbackPeers(m)
-	t.takeTable(m)
+	t.applyHubList(m)
+	t.applyFallbackPeers(m)
+	t.applyTable(m)
 	t.takeZones(from, m.Zones)
-	sent, known := t.takeRound(m.Round)
+	sent, known := t.popPendingPoll(m.Round)
 	if m.Summed && known {
-		t.seeded.loadsAt = t.now.Add(time.Duration(len(m.Loads)) * loadByteTime)
-		// Loads are summed up to half an interval before the reply.
-		t.takeLoads(m.Loads, sent.Add(-t.pollInterval()/2-m.LoadsAge))
+		t.seeded.loadsDueAt = t.now.Add(time.Duration(len(m.Loads)) * loadByteTime)
+		// The sender may have summed the loads up to half an interval before its reply.
+		t.applyReportedLoads(m.Loads, sent.Add(-t.pollInterval()/2-m.LoadsAge))
 	}
 	if !m.Fresh {
-		// A fleet that starts has no leader yet, and must not poll its replicas as often
-		// as a small one may.
+		// A starting fleet has no leader yet, but its size must already limit how often its
+		// hosts poll the replicas.
 		t.seeded.hosts = max(t.seeded.hosts, m.Hosts)
-		t.followLeader(from, m.Leader)
+		t.redirectToLeader(from, m.Leader)
 		return
 	}
 	t.seeded.leaderContact, t.seeded.leaderReplyAt = from, t.now
 	t.seeded.replicas = m.Replicas
-	t.noteNewestTable(m.Version)
+	t.recordNewestVersion(m.Version)
 	if m.Hosts > 0 {
 		t.seeded.hosts = m.Hosts
 		t.requests = t.requests.WithHosts(m.Hosts)
 	}
 	if known {
-		t.takeConfirmation(m, sent)
+		t.applyConfirmation(m, sent)
 	}
 }
 
-// takeRound returns when the poll of a round was sent; not known for an update that no
-// poll asked for, and for a late reply.
-func (t *transition) takeRound(round uint64) (sent time.Time, known bool) {
-	sent, known = t.seeded.rounds.Get(round)
-	t.seeded.rounds = t.seeded.rounds.Without(round)
+// popPendingPoll removes a poll from the pending ones and returns when it was sent. known is
+// false for an unsolicited update and for a late reply.
+func (t *transition) popPendingPoll(round uint64) (sent time.Time, known bool) {
+	sent, known = t.seeded.pendingPolls.Get(round)
+	t.seeded.pendingPolls = t.seeded.pendingPolls.Without(round)
 	return sent, known
 }
 
-// takeConfirmation takes a reply that names the newest table, where this host holds it.
-func (t *transition) takeConfirmation(m PollReply, sent time.Time) {
+// applyConfirmation records that the table held here was the newest when the poll was sent,
+// unless the reply names a newer one.
+func (t *transition) applyConfirmation(m PollReply, sent time.Time) {
 	if t.config.Version >= m.Version {
 		t.reduceRequests(requests.Confirmed{Confirmation: confirmation.OfReply(sent, m.Age)})
 	}
 }
 
-// takeRegistrations takes the workers that a reply reports.
-func (t *transition) takeRegistrations(from ident.Host, m PollReply) []registry.Worker {
+// applyRegistrations stores the valid registrations in a reply and returns them.
+func (t *transition) applyRegistrations(from ident.Host, m PollReply) []registry.Worker {
 	workers, err := registry.Unpack(m.Workers)
 	if err != nil {
 		t.note(NoteReplica, string(from), "sent registrations that cannot be read: "+err.Error())
@@ -84,19 +85,19 @@
 	return workers
 }
 
-// tableOverdue tells whether a newer table has been known for so long that the leader is
-// asked for it itself.
+// tableOverdue reports whether a newer table has been known for so long that this host requests
+// it from the leader itself.
 func (t *transition) tableOverdue() bool {
 	since := t.seeded.newerKnownAt
 	return t.config.Version == 0 || !since.IsZero() && t.now.Sub(since) > t.pollInterval()
 }
 
-// noteNewestTable takes note of a table that was the newest one, and since when a newer one
-// than the one held is known of.
-func (t *transition) noteNewestTable(v config.Version) {
+// recordNewestVersion records a version that was the newest when it was reported, and since
+// when this host has known of a newer table than its own.
+func (t *transition) recordNewestVersion(v config.Version) {
 	s := &t.seeded
-	s.newest = max(s.newest, v)
-	switch newerKnown := t.config.Version < s.newest; {
+	s.newestVersion = max(s.newestVersion, v)
+	switch newerKnown := t.config.Version < s.newestVersion; {
 	case !newerKnown:
 		s.newerKnownAt = time.Time{}
 	case s.newerKnownAt.IsZero():
@@ -105,19 +106,19 @@
 	t.requests = t.requests.WithNewerKnown(!s.newerKnownAt.IsZero())
 }
 
-// followLeader turns to the leader that the leader contact knows of. A contact that knows
-// none, or is cut off itself, is left after a while (pickLeaderContact).
-func (t *transition) followLeader(from, leader ident.Host) {
+// redirectToLeader polls the leader that the leader contact reported. A contact that knows no
+// leader or is partitioned is replaced after a timeout (updateLeaderContact).
+func (t *transition) redirectToLeader(from, leader ident.Host) {
 	if from != t.seeded.leaderContact || leader == "" || leader == from || t.pollsHubs() {
 		return
 	}
 	t.seeded.leaderContact = leader
-	t.sendPoll(leader, t.poll(leader))
+	t.sendPoll(leader, t.buildPoll(leader))
 }
 
-// takeTable puts a newer route table in force. A delta from another table than the one
-// held is dropped; the next poll asks again.
-func (t *transition) takeTable(m PollReply) {
+// applyTable puts a newer route table in force. A delta from a version other than the one held
+// is dropped; the next poll requests the table again.
+func (t *transition) applyTable(m PollReply) {
 	if len(m.Gateway) == 0 || m.Version <= t.config.Version {
 		return
 	}
@@ -128,7 +129,7 @@
 	}
 	next := t.config
 	next.Version, next.Gateway = m.Version, routes
-	t.useConfig(next)
+	t.applyConfig(next)
 }
 
 func (t *transition) unpackTable(m PollReply) (config.RouteTable, error) {
@@ -145,8 +146,8 @@
 	return t.config.Gateway.WithDelta(d)
 }
 
-// noteReply records that a contact replied, and how far its registry is known.
-func (t *transition) noteReply(from ident.Host, m PollReply) {
+// recordReply records that a contact replied, and up to which revision its registry is known.
+func (t *transition) recordReply(from ident.Host, m PollReply) {
 	c, known := t.seeded.contacts.Get(from)
 	if !known || c.lost {
 		t.note(NoteReplica, string(from), "found")
@@ -154,8 +155,8 @@
 	c.lastReply, c.lost, c.crashList = t.now, false, m.CrashList
 	if !m.Cut {
 		c.lastUsefulReply = t.now
-		if t.seeded.hub.choice.Has(from) {
-			t.seeded.hub.choice = t.seeded.hub.choice.WithUseful(t.now)
+		if t.seeded.hub.pollSet.Has(from) {
+			t.seeded.hub.pollSet = t.seeded.hub.pollSet.WithUseful(t.now)
 		}
 	}
 	switch {
--- a/core/host/powerloss_test.go
+++ b/core/host/powerloss_test.go
@@ -14,29 +14,28 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// TestDisksLostWhileAllOthersLosePower takes as many disks as may be lost at once, of any
-// replicas, at the moment at which a change is acknowledged, and the power of all other
-// machines with them, entry hosts too: the change is in force everywhere afterwards, and what
-// was refused stays refused.
-func TestDisksLostWhileAllOthersLosePower(t *testing.T) {
+// TestDisksLostWhileOtherHostsLosePower loses as many disks as a fleet tolerates at the moment
+// a change is acknowledged, and the power of all other hosts. The change and the crash list
+// must survive.
+func TestDisksLostWhileOtherHostsLosePower(t *testing.T) {
 	for _, c := range []struct{ replicas, lost int }{{3, 1}, {5, 2}} {
 		for first := range c.replicas {
 			t.Run(fmt.Sprintf("%d replicas from %d", c.replicas, first), func(t *testing.T) {
 				f := newSeededFleet(t, c.replicas, 4)
 				f.run(20 * time.Second)
-				require.True(t, f.put(f.leader(), f.table(1, "k"), 3*time.Second))
+				require.True(t, f.putTable(f.leader(), f.table(1, "k"), 3*time.Second))
 				bad := host.CrashEntry{Content: crashes.ContentOf("halls", []byte("bad")), Ends: crashes.EndsToRefuse}
 				f.reduce(replicaName(0), host.Received{From: entryName(0), Message: host.Poll{
 					Round: 1, Boot: 1 << 40, CrashEntries: []host.CrashEntry{bad},
 				}})
 				f.run(2 * time.Second)
-				id := f.submit(f.leader(), f.table(2, "k"))
+				id := f.submitTable(f.leader(), f.table(2, "k"))
 				f.runUntilAcked(t, id, 5*time.Second)
 
 				for _, h := range f.order {
 					f.stop(h)
 				}
-				f.wire, f.held = nil, nil
+				f.wire, f.inTransit = nil, nil
 				lost := map[ident.Host]bool{}
 				for i := range c.lost {
 					lost[replicaName((first+i)%c.replicas)] = true
--- a/core/host/read.go
+++ b/core/host/read.go
@@ -9,37 +9,36 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// pendingRead waits until the leader has confirmed a version and this replica
-// holds it.
+// pendingRead waits until the leader has confirmed a version and this replica holds it.
 type pendingRead struct {
 	deadline  time.Time
-	resend    time.Time
+	resendAt  time.Time
 	confirmed bool
 	version   config.Version
 }
 
-// A read of the route table is answered once the leader has confirmed, after the read came,
+// A read of the route table is answered once the leader has confirmed, after the read arrived,
 // which version is the newest, and this replica holds that version.
 
-// readResend is the pause before an unanswered request is sent again. Chosen, not measured.
-const readResend = 200 * time.Millisecond
+// readResendInterval is the pause before an unanswered request is resent.
+const readResendInterval = 200 * time.Millisecond
 
-func (t *transition) read(ev Read) {
+func (t *transition) handleRead(ev Read) {
 	t.reads = t.reads.With(ev.ID, pendingRead{deadline: ev.Deadline})
 	t.requestRead(ev.ID)
 }
 
-// requestRead asks the leader for the newest version. The request leaves after the
-// read came, so the leader's reply covers all that was accepted before it.
+// requestRead asks the leader for the newest version. The request is sent after the read
+// arrived, so the reply covers every write acknowledged before the read.
 func (t *transition) requestRead(id string) {
 	p, ok := t.reads.Get(id)
 	if !ok {
 		return
 	}
-	p.resend = t.now.Add(readResend)
+	p.resendAt = t.now.Add(readResendInterval)
 	t.reads = t.reads.With(id, p)
 	if t.raft.LeaseHeld(t.now) {
-		t.readReplied(ReadReply{ID: id, Version: t.catalog.Config.Version})
+		t.handleReadReply(ReadReply{ID: id, Version: t.catalog.Config.Version})
 		return
 	}
 	if leader := t.raft.Leader(); leader != "" && leader != t.settings.replicaID() {
@@ -47,13 +46,13 @@
 	}
 }
 
-func (t *transition) readRequested(from ident.Host, m ReadRequest) {
+func (t *transition) handleReadRequest(from ident.Host, m ReadRequest) {
 	if t.raft.LeaseHeld(t.now) {
 		t.send(from, ReadReply{ID: m.ID, Version: t.catalog.Config.Version})
 	}
 }
 
-func (t *transition) readReplied(m ReadReply) {
+func (t *transition) handleReadReply(m ReadReply) {
 	p, ok := t.reads.Get(m.ID)
 	if !ok {
 		return
@@ -63,7 +62,7 @@
 	t.answerReads()
 }
 
-// answerReads ends the reads whose version is held now.
+// answerReads answers the reads whose confirmed version this replica holds.
 func (t *transition) answerReads() {
 	for id, p := range t.reads.All() {
 		if p.confirmed && t.catalog.Config.Version >= p.version {
@@ -79,7 +78,7 @@
 		case !t.now.Before(p.deadline):
 			t.reads = t.reads.Without(id)
 			t.emit(AnswerRead{ID: id})
-		case !p.confirmed && !t.now.Before(p.resend):
+		case !p.confirmed && !t.now.Before(p.resendAt):
 			t.requestRead(id)
 		}
 	}
--- a/core/host/registrations.go
+++ b/core/host/registrations.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// registryInterval is the time between two looks over all registrations. Chosen, not
-	// measured.
-	registryInterval = 500 * time.Millisecond
-	// defaultWorkerSilence is how long a worker may be silent: five heartbeats of 1.2 s.
-	defaultWorkerSilence = 6 * time.Second
+	// registryScanInterval is the time between two scans of all registrations.
+	registryScanInterval = 500 * time.Millisecond
+	// defaultWorkerTimeout is how long a worker may be silent: five heartbeats at 1.2 s.
+	defaultWorkerTimeout = 6 * time.Second
 )
 
-// registerHeartbeat takes a worker's heartbeat on a replica and logs what is new in it.
+// registerHeartbeat registers a worker's heartbeat on a replica and logs a change of the
+// registration.
 func (t *transition) registerHeartbeat(w registry.Worker) {
 	before, _ := t.registry.Get(w.ID)
 	next, changed := t.registry.WithHeartbeat(w, t.now)
@@ -31,7 +31,7 @@
 	}
 }
 
-// deregister takes a worker out on a replica.
+// deregister marks a worker as gone on a replica.
 func (t *transition) deregister(id ident.Target, born registry.Incarnation) {
 	next, changed := t.registry.WithGone(id, born, t.now)
 	t.registry = next
@@ -40,39 +40,36 @@
 	}
 }
 
-// A heartbeat names a worker to use where its fields can be used and its service is one of
-// the route table's, which may not have arrived yet. Any other one changes nothing: the
-// worker that is known under its id, or at its address, stays as it is. A worker whose
-// service was taken out of the table stays known while it goes on sending heartbeats, as
-// the service may come back.
-//
-// Inputs: the heartbeat, the pools of the table held, and what is known of the worker.
+// A heartbeat is valid if its fields are and if the route table names its pool. An invalid one
+// changes nothing: the worker registered under its ID or address stays as it is. Heartbeats are
+// also accepted while no table has arrived yet, and from workers registered with a pool that
+// was since removed from the table, because it may be added again.
 
-// invalidReason tells why a heartbeat names no worker to use; empty where it names one.
+// invalidReason returns why a heartbeat is invalid, or "".
 func (t *transition) invalidReason(w registry.Worker) string {
 	if err := w.Check(); err != nil {
 		return err.Error()
 	}
-	if !t.isPoolNamed(w) {
+	if !t.isPoolKnown(w) {
 		return fmt.Sprintf("no service %.80q in route table %d", w.Pool, t.heldConfig().Version)
 	}
 	return ""
 }
 
-// isPoolNamed tells whether the route table names a worker's pool, or no table is held
-// yet, or the worker is known with that pool.
-func (t *transition) isPoolNamed(w registry.Worker) bool {
+// isPoolKnown reports whether the route table names a worker's pool, no table is held yet, or
+// the worker is registered with that pool.
+func (t *transition) isPoolKnown(w registry.Worker) bool {
 	table := t.heldConfig().Gateway
 	if table.Number == 0 {
 		return true
 	}
-	if have, known := t.registeredWorker(w.ID); known && have.Pool == w.Pool {
+	if registered, known := t.registeredWorker(w.ID); known && registered.Pool == w.Pool {
 		return true
 	}
 	return slices.ContainsFunc(table.Pools, func(p config.Pool) bool { return p.ID == w.Pool })
 }
 
-// registeredWorker is a worker as a replica, or as an entry host, knows it.
+// registeredWorker returns a worker as registered on a replica, or as known to an entry host.
 func (t *transition) registeredWorker(id ident.Target) (registry.Worker, bool) {
 	if t.settings.IsReplica() {
 		return t.registry.Get(id)
@@ -80,28 +77,28 @@
 	return t.requests.Worker(id)
 }
 
-// heartbeatInvalid counts and logs a heartbeat that names no worker to use.
-func (t *transition) heartbeatInvalid(id ident.Target, reason string) {
+// rejectHeartbeat counts and logs an invalid heartbeat.
+func (t *transition) rejectHeartbeat(id ident.Target, reason string) {
 	t.counters.HeartbeatsInvalid++
 	t.note(NoteWorker, fmt.Sprintf("%.80q", id), "heartbeat not taken: "+reason)
 }
 
-// tickRegistry looks over all registrations and clients now and then, on a replica: which
-// workers are silent, and which hosts are hubs, fallback peers and relays.
+// tickRegistry scans all registrations and clients, on a replica. It expires silent workers and
+// selects hubs, fallback peers and relays.
 func (t *transition) tickRegistry() {
-	if t.now.Sub(t.seeded.lookedAt) < registryInterval {
+	if t.now.Sub(t.seeded.registryScannedAt) < registryScanInterval {
 		return
 	}
-	t.seeded.lookedAt = t.now
-	silence := t.settings.SilentAfter
-	if silence == 0 {
-		silence = defaultWorkerSilence
+	t.seeded.registryScannedAt = t.now
+	timeout := t.settings.SilentAfter
+	if timeout == 0 {
+		timeout = defaultWorkerTimeout
 	}
-	t.registry, _ = t.registry.Expire(silence, t.now)
-	t.forgetLeases()
+	t.registry, _ = t.registry.Expire(timeout, t.now)
+	t.expireLeases()
 	t.forgetCrashes()
 	hosts := t.liveEntryHosts()
-	t.nameHubs(hosts)
-	t.nameFallbackPeers(hosts)
-	t.nameRelays(hosts)
+	t.selectHubs(hosts)
+	t.selectFallbackPeers(hosts)
+	t.selectRelays(hosts)
 }
--- a/core/host/relay.go
+++ b/core/host/relay.go
@@ -12,14 +12,14 @@
 	"github.com/yardhall/yardhall/core/relay"
 )
 
-// Package relay decides which heartbeats a relay takes; here workers are answered, and what
-// relays have gathered is reported in polls.
+// Package relay decides which heartbeats a relay accepts. This file answers workers and reports
+// the accepted heartbeats in polls.
 
-// heartbeatReceived takes a worker's heartbeat and answers whether it is acknowledged, and
-// where the next ones shall go.
-func (t *transition) heartbeatReceived(w registry.Worker) {
+// handleHeartbeat processes a worker's heartbeat and answers whether it was accepted. A
+// replica's answer also names the relay to send further heartbeats to, if any.
+func (t *transition) handleHeartbeat(w registry.Worker) {
 	if reason := t.invalidReason(w); reason != "" {
-		t.heartbeatInvalid(w.ID, reason)
+		t.rejectHeartbeat(w.ID, reason)
 		t.answerHeartbeat(HeartbeatAnswer{Invalid: reason})
 		return
 	}
@@ -32,28 +32,29 @@
 		t.answerHeartbeat(HeartbeatAnswer{Taken: true, Relay: relay.For(w, t.seeded.relays)})
 		return
 	}
-	taken := t.mayRelay(w)
-	if taken {
+	accepted := t.acceptForRelay(w)
+	if accepted {
 		t.seeded.relay = t.seeded.relay.WithHeartbeats(w)
 	}
-	t.answerHeartbeat(HeartbeatAnswer{Taken: taken})
+	t.answerHeartbeat(HeartbeatAnswer{Taken: accepted})
 }
 
-// deregistrationReceived takes a worker's report that it ends; only replicas do.
-func (t *transition) deregistrationReceived(ev DeregistrationReceived) {
+// handleDeregistration processes a worker's report that it is stopping. Only replicas accept
+// it.
+func (t *transition) handleDeregistration(ev DeregistrationReceived) {
 	gone := registry.Worker{ID: ev.Worker, State: registry.Gone, Born: ev.Born}
 	if err := gone.Check(); err != nil {
-		t.heartbeatInvalid(ev.Worker, err.Error())
+		t.rejectHeartbeat(ev.Worker, err.Error())
 		t.emit(HeartbeatAnswer{Invalid: err.Error()})
 		return
 	}
-	// One that is not known is nowhere sent anything; it is remembered where there is room,
-	// so that a late heartbeat does not bring it in.
-	taken := t.settings.IsReplica()
-	if taken && t.registry.HasRoom(ev.Worker) {
+	// An unknown worker is not announced to hosts, but it is recorded if there is room, so that
+	// a late heartbeat does not register it.
+	accepted := t.settings.IsReplica()
+	if accepted && t.registry.HasRoom(ev.Worker) {
 		t.deregister(ev.Worker, ev.Born)
 	}
-	t.emit(HeartbeatAnswer{Taken: taken})
+	t.emit(HeartbeatAnswer{Taken: accepted})
 }
 
 // answerHeartbeat answers a worker and counts the answer.
@@ -71,23 +72,24 @@
 	t.emit(a)
 }
 
-// mayRelay tells whether this host takes a heartbeat for the replicas. One that has become
-// a hub sends its workers away.
-func (t *transition) mayRelay(w registry.Worker) bool {
-	known, ok := t.requests.Worker(w.ID)
-	if !relay.SaysNothingNew(w, known, ok) || t.draining || t.seeded.hub.serves {
+// acceptForRelay reports whether this host accepts a heartbeat on behalf of the replicas, and
+// records the decision. A host that has become a hub declines, which sends its workers back to
+// the replicas.
+func (t *transition) acceptForRelay(w registry.Worker) bool {
+	known, isKnown := t.requests.Worker(w.ID)
+	if !relay.SaysNothingNew(w, known, isKnown) || t.draining || t.seeded.hub.serves {
 		return false
 	}
 	if !t.seeded.relay.HasRoom(w.ID, t.requests.KnownWorkers(), t.seeded.hosts) {
 		return false
 	}
 	contact := relay.Contact{InTouch: t.replicaRepliedWithin(relay.ReplicaTimeout), Ever: t.replicaEverReplied()}
-	next, kept := t.seeded.relay.Keeps(w.ID, contact, t.now)
+	next, accepted := t.seeded.relay.Keeps(w.ID, contact, t.now)
 	t.seeded.relay = next
-	return kept
+	return accepted
 }
 
-// replicaRepliedWithin tells whether any replica, or a hub in touch with one, has replied
+// replicaRepliedWithin reports whether a replica, or a hub in contact with one, has replied
 // within a time.
 func (t *transition) replicaRepliedWithin(within time.Duration) bool {
 	for _, c := range t.seeded.contacts.All() {
@@ -98,7 +100,8 @@
 	return false
 }
 
-// replicaEverReplied tells the same of the whole life of this process.
+// replicaEverReplied reports whether a replica, or a hub in contact with one, has replied since
+// this process started.
 func (t *transition) replicaEverReplied() bool {
 	for _, c := range t.seeded.contacts.All() {
 		if !c.lastUsefulReply.IsZero() {
@@ -108,10 +111,10 @@
 	return false
 }
 
-// heartbeatsFor returns the workers that are to be reported to each of the hosts polled
-// now: to each replica those that it reported itself, so that no worker is reported to
-// several, and to another one where that one is silent.
-func (t *transition) heartbeatsFor(polled []ident.Host) map[ident.Host][]registry.Worker {
+// dequeueHeartbeats removes the accepted heartbeats that are due for a report and returns them
+// by receiver. Each worker is reported to the replica that registered it, so that no two
+// replicas report the same worker, or to the default receiver if that replica is silent.
+func (t *transition) dequeueHeartbeats(polled []ident.Host) map[ident.Host][]registry.Worker {
 	if !t.seeded.relay.Due(t.seeded.hub.serves, t.now) {
 		return nil
 	}
@@ -121,23 +124,23 @@
 	for _, w := range workers {
 		to := t.requests.ReportedBy(w.ID)
 		if c, ok := t.seeded.contacts.Get(to); !ok || c.lost || !slices.Contains(polled, to) {
-			to = t.heartbeatReceiver()
+			to = t.defaultHeartbeatReceiver()
 		}
 		out[to] = append(out[to], w)
 	}
 	return out
 }
 
-// heartbeatReceiver is the host to which workers are reported that none of those polled
-// reported itself.
-func (t *transition) heartbeatReceiver() ident.Host {
+// defaultHeartbeatReceiver returns the host that receives the heartbeats of workers whose own
+// replica is not polled.
+func (t *transition) defaultHeartbeatReceiver() ident.Host {
 	if primary := t.primaryHub(); primary != "" {
 		return primary
 	}
-	return t.sourceOf("beats", replicaTimeout)
+	return t.pickSource("beats", replicaTimeout)
 }
 
-// nameRelays names the relays of the fleet, on a replica.
-func (t *transition) nameRelays(hosts []hubs.Host) {
+// selectRelays updates the relays of the fleet, on a replica.
+func (t *transition) selectRelays(hosts []hubs.Host) {
 	t.seeded.relays = relay.Name(hosts, t.registry.Ready(), t.now.Sub(t.started))
 }
--- a/core/host/relay_test.go
+++ b/core/host/relay_test.go
@@ -15,22 +15,22 @@
 	"github.com/yardhall/yardhall/core/registry"
 )
 
-// manyWorkers are more than replicas hear themselves.
+// manyWorkers is a number of workers for which replicas select relays.
 const manyWorkers = 600
 
-// relayedFleet has its workers' heartbeats go where the answers say.
+// relayedFleet simulates workers that send their heartbeats to the relays named in the answers.
 type relayedFleet struct {
 	*seededFleet
-	relay map[ident.Target]ident.Host
-	seq   uint64
+	relayOf map[ident.Target]ident.Host
+	seq     uint64
 }
 
-func startRelayed(t *testing.T, entries int) *relayedFleet {
-	f := &relayedFleet{seededFleet: newSeededFleet(t, 3, entries), relay: map[ident.Target]ident.Host{}}
+func newRelayedFleet(t *testing.T, entries int) *relayedFleet {
+	f := &relayedFleet{seededFleet: newSeededFleet(t, 3, entries), relayOf: map[ident.Target]ident.Host{}}
 	f.run(5 * time.Second)
-	require.True(t, f.put(f.leader(), f.table(1, "k"), time.Second))
+	require.True(t, f.putTable(f.leader(), f.table(1, "k"), time.Second))
 	for range 3 {
-		f.beatAll()
+		f.sendAllHeartbeats()
 		f.run(time.Second)
 	}
 	return f
@@ -42,37 +42,38 @@
 	return registry.Worker{ID: workerName(i), Pool: "pool", Zone: "z", Address: fmt.Sprintf("10.9.0.%d:80", i), Slots: 4, State: state, Seq: f.seq}
 }
 
-// say sends a worker's word to a host; taken is false where nobody answers.
-func (f *relayedFleet) say(at ident.Host, ev host.Event) host.HeartbeatAnswer {
-	f.beats = nil
+// deliverWorkerEvent delivers a worker's message to a host and returns the answer, which is
+// zero if there is none.
+func (f *relayedFleet) deliverWorkerEvent(at ident.Host, ev host.Event) host.HeartbeatAnswer {
+	f.heartbeatAnswers = nil
 	f.reduce(at, ev)
-	if len(f.beats) == 0 {
+	if len(f.heartbeatAnswers) == 0 {
 		return host.HeartbeatAnswer{}
 	}
-	return f.beats[0]
+	return f.heartbeatAnswers[0]
 }
 
-// beatAll has each worker send a heartbeat to its relay, or where it has none or
-// fails there, to a replica.
-func (f *relayedFleet) beatAll() {
+// sendAllHeartbeats sends a heartbeat of each worker to its relay, or to a replica if it has no
+// relay or the relay declines.
+func (f *relayedFleet) sendAllHeartbeats() {
 	f.seq++
 	for i := range manyWorkers {
 		w := f.worker(i, registry.Ready)
-		if relay, ok := f.relay[w.ID]; ok {
-			if f.say(relay, host.HeartbeatReceived{Worker: w}).Taken {
+		if relay, ok := f.relayOf[w.ID]; ok {
+			if f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: w}).Taken {
 				continue
 			}
-			delete(f.relay, w.ID)
+			delete(f.relayOf, w.ID)
 		}
-		answer := f.say(replicaName(i%3), host.HeartbeatReceived{Worker: w})
+		answer := f.deliverWorkerEvent(replicaName(i%3), host.HeartbeatReceived{Worker: w})
 		if relay, ok := strings.CutPrefix(answer.Relay, "relay at "); ok {
-			f.relay[w.ID] = ident.Host(relay)
+			f.relayOf[w.ID] = ident.Host(relay)
 		}
 	}
 }
 
-// usableAt counts the workers that a host takes for ready.
-func (f *relayedFleet) usableAt(at ident.Host) int {
+// readyWorkersAt counts the workers that a host considers ready.
+func (f *relayedFleet) readyWorkersAt(at ident.Host) int {
 	n := 0
 	for i := range manyWorkers {
 		if w, ok := f.states[at].Requests().Worker(workerName(i)); ok && w.State == registry.Ready {
@@ -82,29 +83,29 @@
 	return n
 }
 
-// TestRelaysTakeHeartbeatsOfManyWorkers has relays hear all workers for longer
-// than a worker may be silent, over a restart of all replicas, and stops a relay.
-func TestRelaysTakeHeartbeatsOfManyWorkers(t *testing.T) {
-	f := startRelayed(t, 4)
-	require.Len(t, f.relay, manyWorkers, "replicas name relays")
+// TestRelaysAcceptHeartbeatsOfManyWorkers guards against workers being considered silent while
+// relays accept their heartbeats, across a restart of all replicas and a drain of a relay.
+func TestRelaysAcceptHeartbeatsOfManyWorkers(t *testing.T) {
+	f := newRelayedFleet(t, 4)
+	require.Len(t, f.relayOf, manyWorkers, "replicas name relays")
 	used := map[ident.Host]int{}
-	for _, relay := range f.relay {
+	for _, relay := range f.relayOf {
 		used[relay]++
 	}
 	require.Len(t, used, 4)
 	for range 10 {
-		f.beatAll()
+		f.sendAllHeartbeats()
 		f.run(time.Second)
 	}
 	for i := range 4 {
-		require.Equal(t, manyWorkers, f.usableAt(entryName(i)))
+		require.Equal(t, manyWorkers, f.readyWorkersAt(entryName(i)))
 	}
 	for i := range 3 {
 		f.stop(replicaName(i))
 		f.start(replicaName(i))
 	}
 	for range 12 {
-		f.beatAll()
+		f.sendAllHeartbeats()
 		f.run(time.Second)
 	}
 	known := 0
@@ -114,65 +115,65 @@
 	require.Equal(t, manyWorkers, known, "replicas learn of workers from relays")
 	f.reduce(entryName(0), host.Drain{})
 	for range 8 {
-		f.beatAll()
+		f.sendAllHeartbeats()
 		f.run(time.Second)
 	}
-	for _, relay := range f.relay {
+	for _, relay := range f.relayOf {
 		require.NotEqual(t, entryName(0), relay, "a relay that stops sends workers away")
 	}
-	require.Equal(t, manyWorkers, f.usableAt(entryName(1)))
+	require.Equal(t, manyWorkers, f.readyWorkersAt(entryName(1)))
 }
 
-// TestRelaysAcknowledgeOnlyWhatChangesNothing sends relays what replicas must
-// hear, and cuts one off.
-func TestRelaysAcknowledgeOnlyWhatChangesNothing(t *testing.T) {
-	f := startRelayed(t, 2)
-	relay := f.relay[workerName(7)]
+// TestRelaysAcceptOnlyUnchangedHeartbeats guards against a relay accepting a change that the
+// worker must report to a replica, and against a partitioned relay accepting anything.
+func TestRelaysAcceptOnlyUnchangedHeartbeats(t *testing.T) {
+	f := newRelayedFleet(t, 2)
+	relay := f.relayOf[workerName(7)]
 	f.seq++
-	require.False(t, f.say(relay, host.HeartbeatReceived{Worker: f.worker(7, registry.Draining)}).Taken)
-	require.False(t, f.say(relay, host.DeregistrationReceived{Worker: workerName(7)}).Taken)
+	require.False(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: f.worker(7, registry.Draining)}).Taken)
+	require.False(t, f.deliverWorkerEvent(relay, host.DeregistrationReceived{Worker: workerName(7)}).Taken)
 	moved := f.worker(7, registry.Ready)
 	moved.Address = "10.9.9.9:80"
-	require.False(t, f.say(relay, host.HeartbeatReceived{Worker: moved}).Taken)
+	require.False(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: moved}).Taken)
 	stranger := f.worker(7, registry.Ready)
 	stranger.ID = "stranger"
-	require.True(t, f.say(relay, host.HeartbeatReceived{Worker: stranger}).Taken, "its first word to a replica may be under way")
+	require.True(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: stranger}).Taken, "its first word to a replica may be under way")
 	f.run(3 * time.Second)
 	for i := range 2 {
 		w, ok := f.states[entryName(i)].Requests().Worker("stranger")
 		require.True(t, ok && w.State == registry.Ready, "or lost: then the relay's word brings it in")
 	}
 
-	require.Empty(t, f.say(replicaName(0), host.HeartbeatReceived{Worker: f.worker(7, registry.Draining)}).Relay)
+	require.Empty(t, f.deliverWorkerEvent(replicaName(0), host.HeartbeatReceived{Worker: f.worker(7, registry.Draining)}).Relay)
 	f.run(time.Second)
-	require.False(t, f.say(relay, host.HeartbeatReceived{Worker: f.worker(7, registry.Ready)}).Taken, "a leaving worker is no longer known as ready")
+	require.False(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: f.worker(7, registry.Ready)}).Taken, "a leaving worker is no longer known as ready")
 
-	f.cutOff(relay, true)
+	f.partition(relay, true)
 	f.run(4 * time.Second)
-	require.False(t, f.say(relay, host.HeartbeatReceived{Worker: f.worker(8, registry.Ready)}).Taken, "a relay that no replica answers")
+	require.False(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: f.worker(8, registry.Ready)}).Taken, "a relay that no replica answers")
 }
 
-// TestFewWorkersAreHeardByReplicas names no relay in a small fleet.
-func TestFewWorkersAreHeardByReplicas(t *testing.T) {
+// TestSmallFleetsHaveNoRelays guards against relays being selected in a small fleet.
+func TestSmallFleetsHaveNoRelays(t *testing.T) {
 	f := newSeededFleet(t, 3, 2)
 	f.run(5 * time.Second)
 	for i := range 400 {
-		f.beat(replicaName(i%3), fmt.Sprint("w-", i), registry.Ready, 1)
+		f.sendHeartbeat(replicaName(i%3), fmt.Sprint("w-", i), registry.Ready, 1)
 	}
 	f.run(2 * time.Second)
-	f.beats = nil
-	f.beat(replicaName(0), "w-0", registry.Ready, 2)
-	require.Equal(t, []host.HeartbeatAnswer{{Taken: true}}, f.beats)
+	f.heartbeatAnswers = nil
+	f.sendHeartbeat(replicaName(0), "w-0", registry.Ready, 2)
+	require.Equal(t, []host.HeartbeatAnswer{{Taken: true}}, f.heartbeatAnswers)
 }
 
-// TestManyRegistrationsGoOutAtABoundedRate has many workers register at
-// one replica: what it sends in a tick is bounded, nothing is sent twice while it
-// is under way, and every host learns of all.
-func TestManyRegistrationsGoOutAtABoundedRate(t *testing.T) {
+// TestRegistrationsAreSentAtABoundedRate registers many workers at one replica. It must send a
+// bounded number of bytes per tick and nothing twice while it is in transit, and every host
+// must learn of all workers.
+func TestRegistrationsAreSentAtABoundedRate(t *testing.T) {
 	const entries, workers = 40, 600
 	f := newSeededFleet(t, 3, entries)
 	f.run(5 * time.Second)
-	require.True(t, f.put(f.leader(), f.table(1, "k"), time.Second))
+	require.True(t, f.putTable(f.leader(), f.table(1, "k"), time.Second))
 	at := replicaName(0)
 	for i := range workers {
 		f.reduce(at, host.HeartbeatReceived{Worker: registry.Worker{
@@ -180,7 +181,7 @@
 		}})
 	}
 	sent, perTick := 0, map[time.Time]int{}
-	f.seen = func(p seededPacket) {
+	f.onDeliver = func(p seededPacket) {
 		if m, ok := p.message.(host.PollReply); ok && p.from == at {
 			sent += len(m.Workers)
 			perTick[f.now] += len(m.Workers)
@@ -199,12 +200,12 @@
 	}
 }
 
-// TestRelayKeepsWorkersWhileReplicasAreSilent lets replicas answer a relay no more, as
-// where they are overloaded: it keeps each worker for a while after the worker was at a
-// replica, and sends it there again before replicas would take it for silent.
+// TestRelayKeepsWorkersWhileReplicasAreSilent drops the replies of replicas to a relay, as if
+// they were overloaded. The relay must keep accepting heartbeats for a while, but send each
+// worker back to the replicas before its timeout.
 func TestRelayKeepsWorkersWhileReplicasAreSilent(t *testing.T) {
 	f := newServingFleet(t, 2)
-	f.hold = func(p seededPacket) time.Duration {
+	f.delay = func(p seededPacket) time.Duration {
 		if f.disks[p.from] != nil && p.to == entryName(0) {
 			return time.Hour
 		}
@@ -215,9 +216,9 @@
 	seq, begun := uint64(1), f.now
 	for f.now.Sub(begun) < 30*time.Second {
 		seq++
-		f.beats = nil
-		f.beat(entryName(0), "w1", registry.Ready, seq)
-		if !f.beats[0].Taken {
+		f.heartbeatAnswers = nil
+		f.sendHeartbeat(entryName(0), "w1", registry.Ready, seq)
+		if !f.heartbeatAnswers[0].Taken {
 			sentBack = append(sentBack, f.now)
 		}
 		f.run(1200 * time.Millisecond)
--- a/core/host/repair.go
+++ b/core/host/repair.go
@@ -99,7 +99,7 @@
 
 func (t *transition) repairedLately(id ident.Intent) bool {
 	for _, p := range t.catalog.Plans.All() {
-		if p.Repair && p.Intent.ID == id && t.timeOfDay().Sub(p.Created) < repairPause {
+		if p.Repair && p.Intent.ID == id && t.wallClock().Sub(p.Created) < repairPause {
 			return true
 		}
 	}
--- a/core/host/replaced.go
+++ b/core/host/replaced.go
@@ -11,39 +11,41 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// Package requests tells which workers this host found replaced; here that is reported in
-// polls, by hubs also for the hosts that poll them, and taken by replicas.
+// Package requests detects replaced workers on this host. This file reports them in polls, on
+// hubs also for their clients, and applies the reports on replicas.
 
-// ReplacedWorker reports a worker at whose address another process answered, Age ago. Its
-// fields travel by their names.
+// ReplacedWorker reports a worker at whose address another process answered, Age ago. Gob
+// identifies its fields by name, so they must not be renamed.
 type ReplacedWorker struct {
 	Worker ident.Target
 	Born   registry.Incarnation
 	Age    time.Duration
 }
 
-// replacedReport are the workers found replaced lately, here or at the clients of this hub.
+// replacedReport returns the workers recently found replaced by this host or by the clients of
+// this hub.
 func (t *transition) replacedReport() []ReplacedWorker {
-	all := t.seeded.replacements
-	for _, one := range t.requests.Replaced().Lately(t.now) {
-		all = all.With(one, t.now)
+	replacements := t.seeded.replacements
+	for _, replaced := range t.requests.Replaced().Lately(t.now) {
+		replacements = replacements.With(replaced, t.now)
 	}
-	lately := all.Lately(t.now)
-	out := make([]ReplacedWorker, 0, len(lately))
-	for _, one := range lately {
+	recent := replacements.Lately(t.now)
+	out := make([]ReplacedWorker, 0, len(recent))
+	for _, one := range recent {
 		out = append(out, ReplacedWorker{Worker: one.Worker, Born: one.Born, Age: t.now.Sub(one.SeenAt)})
 	}
 	return out
 }
 
-// replacedReceived takes what a client reports.
-func (t *transition) replacedReceived(from ident.Host, reported []ReplacedWorker) {
+// applyReplacements applies the replaced workers that a client reports.
+func (t *transition) applyReplacements(from ident.Host, reported []ReplacedWorker) {
 	for _, r := range reported {
 		seenAt := t.now.Add(-max(0, r.Age))
 		if !t.settings.IsReplica() {
-			// Only who hears the worker's heartbeats can tell that it lives after all.
-			one := requests.Replaced{Worker: r.Worker, Born: r.Born, SeenAt: seenAt}
-			t.seeded.replacements = t.seeded.replacements.With(one, t.now)
+			// Only replicas, which receive the worker's heartbeats, can tell whether it is
+			// still alive, so a hub just forwards the report.
+			replacement := requests.Replaced{Worker: r.Worker, Born: r.Born, SeenAt: seenAt}
+			t.seeded.replacements = t.seeded.replacements.With(replacement, t.now)
 			continue
 		}
 		next, changed := t.registry.WithReplaced(r.Worker, r.Born, seenAt)
--- a/core/host/replaced_test.go
+++ b/core/host/replaced_test.go
@@ -15,15 +15,14 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// TestReplacedWorkerIsLeftByAllHosts has one host of a fleet with hubs, or of one without,
-// find another process at a worker's address: all others leave the worker before they have
-// sent anything there. Its next heartbeat, if it lives after all, brings it back.
-func TestReplacedWorkerIsLeftByAllHosts(t *testing.T) {
+// TestAllHostsStopUsingReplacedWorker lets one host find another process at a worker's address,
+// with and without hubs. All hosts must stop using the worker until its next heartbeat.
+func TestAllHostsStopUsingReplacedWorker(t *testing.T) {
 	for _, entries := range []int{3, 60} {
 		f := newSeededFleet(t, 3, entries)
 		f.run(8 * time.Second)
-		require.True(t, f.put(f.leader(), f.table(1, "k"), 3*time.Second))
-		f.beat(replicaName(0), "w1", registry.Ready, 1)
+		require.True(t, f.putTable(f.leader(), f.table(1, "k"), 3*time.Second))
+		f.sendHeartbeat(replicaName(0), "w1", registry.Ready, 1)
 		f.run(2 * time.Second)
 		stateAt := func(i int) registry.State {
 			w, ok := f.states[entryName(i)].Requests().Worker("w1")
@@ -31,7 +30,7 @@
 			return w.State
 		}
 		finder := entryName(entries - 1)
-		sent, ok := f.ask(finder, "/x/1", "k").(requests.Dispatch)
+		sent, ok := f.sendRequest(finder, "/x/1", "k").(requests.Dispatch)
 		require.True(t, ok)
 		f.reduce(finder, host.RequestEvent{Event: requests.AttemptEnded{
 			Request: sent.Request, Attempt: sent.Attempt, Result: outcome.Declined{Leaving: true}, Wanted: true,
@@ -40,7 +39,7 @@
 		for i := range entries {
 			require.Equal(t, registry.Silent, stateAt(i), "host %d of %d", i, entries)
 		}
-		f.beat(replicaName(0), "w1", registry.Ready, 2)
+		f.sendHeartbeat(replicaName(0), "w1", registry.Ready, 2)
 		f.run(2 * time.Second)
 		for i := range entries {
 			require.Equal(t, registry.Ready, stateAt(i), "host %d of %d", i, entries)
@@ -48,15 +47,15 @@
 	}
 }
 
-// TestLateReportOfAReplacedWorkerChangesNothing reports one that has sent a heartbeat since,
-// and one of an earlier process.
+// TestLateReportOfAReplacedWorkerChangesNothing guards against a report silencing a worker that
+// has sent a heartbeat since, or a later process of the worker.
 func TestLateReportOfAReplacedWorkerChangesNothing(t *testing.T) {
 	f := newSeededFleet(t, 3, 1)
 	f.run(time.Second)
-	w := registry.Worker{ID: "w1", Pool: "pool", Zone: "z", Address: "10.9.9.9:80", Slots: 4, Seq: 1, Born: bornFirst}
+	w := registry.Worker{ID: "w1", Pool: "pool", Zone: "z", Address: "10.9.9.9:80", Slots: 4, Seq: 1, Born: firstIncarnation}
 	f.reduce(replicaName(0), host.HeartbeatReceived{Worker: w})
 	for _, late := range []host.ReplacedWorker{
-		{Worker: "w1", Born: bornFirst, Age: time.Second}, {Worker: "w1", Born: bornFirst - 1}, {Worker: "unknown"},
+		{Worker: "w1", Born: firstIncarnation, Age: time.Second}, {Worker: "w1", Born: firstIncarnation - 1}, {Worker: "unknown"},
 	} {
 		f.reduce(replicaName(0), host.Received{From: entryName(0), Message: host.Poll{
 			Round: 1, Boot: 1 << 40, Replaced: []host.ReplacedWorker{late},
--- a/core/host/replica.go
+++ b/core/host/replica.go
@@ -12,10 +12,10 @@
 	"github.com/yardhall/yardhall/core/table"
 )
 
-// A replica feeds the replicated log, carries out what the log asks for, and applies
-// what is committed to the catalog.
+// This file feeds events to the replicated log, executes its effects and applies committed
+// entries to the catalog.
 
-// stepRaft feeds the replicated log and carries out what it asks for.
+// stepRaft feeds an event to the replicated log and executes the resulting effects.
 func (t *transition) stepRaft(ev raft.Event) {
 	if !t.raft.Active() {
 		return
@@ -29,22 +29,21 @@
 		case raft.Persist:
 			t.emit(Persist{Persist: e})
 		case raft.RoleChange:
-			t.roleChanged(e)
+			t.handleRoleChange(e)
 		}
 	}
-	// Applying comes last: it may feed the log again, and what the disk must
-	// write has to leave here in log order.
+	// Apply last: it may step the log again, and writes to disk must be emitted in log order.
 	for _, e := range effects {
 		switch e := e.(type) {
 		case raft.Commit:
 			t.applyEntries(e.Entries)
 		case raft.Restore:
-			t.restore(e.Snapshot)
+			t.restoreSnapshot(e.Snapshot)
 		}
 	}
 }
 
-// envelope addresses a message of the replicated log.
+// envelope wraps a message of the replicated log with the sender's and receiver's identity.
 func (s State) envelope(e raft.Send) Raft {
 	if !s.settings.Seeded() {
 		return Raft{Message: e.Message}
@@ -52,16 +51,17 @@
 	return Raft{From: s.settings.replicaID(), To: e.To, Message: e.Message, KnowsZones: true}
 }
 
-// Envelope addresses a message that had to wait for the disk.
+// Envelope returns the host and the message to send to it for a log message that had to wait
+// for the disk.
 func (s State) Envelope(e raft.Send) (ident.Host, Raft) { return e.To.Address(), s.envelope(e) }
 
-func (t *transition) roleChanged(e raft.RoleChange) {
+func (t *transition) handleRoleChange(e raft.RoleChange) {
 	if e.Role == raft.Leader {
 		t.counters.Elections++
 		t.leaderSince = t.now
 	}
 	t.leader = e.Leader
-	// Writes handed over in an older term may be lost; who waits sends again.
+	// Forwarded writes of an older term may be lost. Their origins resend them.
 	t.origins = table.Table[string, ident.Host]{}
 	t.seeded.inForce = t.seeded.inForce.WithoutAnswers()
 	t.seeded.zonesInForce = t.seeded.zonesInForce.WithoutAnswers()
@@ -78,46 +78,45 @@
 		}
 		w, err := catalog.DecodeWrite(e.Data)
 		if err != nil {
-			// A committed entry that cannot be read means that this replica
-			// would diverge.
+			// Skipping a committed entry would make this replica diverge.
 			panic("host: " + err.Error())
 		}
 		var r catalog.Result
-		table, zonesBefore := t.catalog.Config.Gateway.Number, t.catalog.Zones.Revision
+		tableNumber, zonesBefore := t.catalog.Config.Gateway.Number, t.catalog.Zones.Revision
 		t.catalog, r = t.catalog.Apply(w)
-		if table > 0 && t.catalog.Config.Gateway.Number != table {
+		if tableNumber > 0 && t.catalog.Config.Gateway.Number != tableNumber {
 			t.seeded.inForce = t.seeded.inForce.WithCommit(t.now)
 		}
 		t.zonesCommitted(zonesBefore)
-		t.answerOrigin(w, r)
+		t.answerAppliedWrite(w, r)
 	}
 	if t.catalog.Config.Version != before {
-		t.useConfig(t.catalog.Config)
+		t.applyConfig(t.catalog.Config)
 		t.pushChanges()
 		t.answerReads()
-		t.sendMoved()
+		t.sendRebasedWrites()
 	}
 }
 
-// answerOrigin answers a write that was applied, or has its answer wait until the table
-// that it brought is in force.
-func (t *transition) answerOrigin(w catalog.Write, r catalog.Result) {
-	from, forwarded := t.origins.Get(w.ID)
+// answerAppliedWrite answers a write that was applied. If the write must be in force first, the
+// answer is held until then.
+func (t *transition) answerAppliedWrite(w catalog.Write, r catalog.Result) {
+	origin, forwarded := t.origins.Get(w.ID)
 	t.origins = t.origins.Without(w.ID)
-	p, own := t.writes.Get(w.ID)
+	p, isOwn := t.writes.Get(w.ID)
 	switch {
-	case r.Code == catalog.OK && t.takesForce(w) && forwarded:
-		t.holdAnswer(inforce.Answer{ID: w.ID, To: from, Version: t.committedVersion(w), Result: r}, changesZone(w))
-	case r.Code == catalog.OK && t.takesForce(w) && own:
+	case r.Code == catalog.OK && t.mustBeInForce(w) && forwarded:
+		t.holdWrite(inforce.Answer{ID: w.ID, To: origin, Version: t.committedVersion(w), Result: r}, changesZone(w))
+	case r.Code == catalog.OK && t.mustBeInForce(w) && isOwn:
 		t.awaitInForce(p)
 	case forwarded:
-		t.send(from, WriteAnswered{ID: w.ID, Result: r})
+		t.send(origin, WriteAnswered{ID: w.ID, Result: r})
 	default:
-		t.writeAnswered(w.ID, r)
+		t.handleWriteAnswered(w.ID, r)
 	}
 }
 
-func (t *transition) restore(s raft.Snapshot) {
+func (t *transition) restoreSnapshot(s raft.Snapshot) {
 	c, err := catalog.Decode(s.Data)
 	if err != nil {
 		panic("host: " + err.Error())
@@ -126,22 +125,21 @@
 	t.catalog, t.applied = c, s.Index
 	t.zonesCommitted(zonesBefore)
 	t.seeded.inForce = t.seeded.inForce.WithCommit(t.now)
-	t.useConfig(c.Config)
+	t.applyConfig(c.Config)
 	t.note(NoteStateLoad, string(t.settings.ID), fmt.Sprintf("index=%d version=%d", s.Index, c.Config.Version))
 }
 
 const (
-	// compactEvery is how many entries the log grows between snapshots.
-	// Chosen, not measured.
-	compactEvery = 4096
-	// compactBytes is how many bytes of entries are applied between snapshots.
-	// Chosen, not measured.
-	compactBytes = 4 << 20
+	// compactEntries and compactBytes are how many entries, and how many bytes of them, are
+	// applied between two snapshots.
+	compactEntries = 4096
+	compactBytes   = 4 << 20
 )
 
-// maybeCompact takes a snapshot when the log has grown by compactEvery.
+// maybeCompact takes a snapshot once enough entries or bytes have been applied since the last
+// one.
 func (t *transition) maybeCompact() {
-	grown := t.applied >= t.raft.SnapshotIndex()+compactEvery || t.appliedBytes >= compactBytes
+	grown := t.applied >= t.raft.SnapshotIndex()+compactEntries || t.appliedBytes >= compactBytes
 	if !t.raft.Active() || !grown || t.applied <= t.raft.SnapshotIndex() {
 		return
 	}
--- a/core/host/seeded.go
+++ b/core/host/seeded.go
@@ -17,70 +17,70 @@
 	"github.com/yardhall/yardhall/core/zones"
 )
 
-// seededState is what a process of a seeded fleet keeps beside the replicated log and the
-// requests. Entry hosts poll (polling.go, pollreply.go, hub.go, fallback.go); replicas and
-// hubs reply to their clients (clients.go, updates.go, loadsums.go, tables.go).
+// seededState is the state of a process of a seeded fleet besides the replicated log and the
+// requests. Entry hosts poll (polling.go, pollreply.go, hub.go, fallback.go); replicas and hubs
+// reply to their clients (clients.go, updates.go, loadsums.go, tables.go).
 type seededState struct {
-	// Polling: pollAt is when polls are next due, round the number of the last one,
-	// rounds are when unanswered polls were sent.
-	pollAt time.Time
-	round  uint64
-	rounds table.Table[uint64, time.Time]
-	// replicas are the members that a leader with a lease last reported; contacts are
-	// the replicas and hubs polled.
+	// Polling. pollAt is when the next polls are due, lastPollNumber the number of the last
+	// poll sent, and pendingPolls holds when each unanswered poll was sent.
+	pollAt         time.Time
+	lastPollNumber uint64
+	pendingPolls   table.Table[uint64, time.Time]
+	// replicas are the members last reported by a leader with a lease, contacts the polled
+	// replicas, hubs and fallback peers.
 	replicas []ident.Host
 	contacts table.Table[ident.Host, contact]
-	// leaderContact is whom this host polls for confirmations, leaderReplyAt when it got
-	// the last one; leaderPicks counts how often another was picked.
+	// leaderContact is the host that is asked for confirmations, leaderReplyAt is when the last
+	// one arrived, and leaderPicks counts changes of the contact.
 	leaderContact ident.Host
 	leaderReplyAt time.Time
 	leaderPicks   int
-	// hosts is how many entry hosts there are, as a leader reports.
+	// hosts is the number of entry hosts, as reported by a leader.
 	hosts int
-	// newest is the newest table that this host knows of, newerKnownAt since when it is
-	// newer than the one held.
-	newest       config.Version
-	newerKnownAt time.Time
-	// loadsAt is when loads are next polled for.
-	loadsAt  time.Time
-	hub      hubState
-	fallback fallbackState
+	// newestVersion is the newest table version known, newerKnownAt is since when it has been
+	// newer than the one held; zero while it is not.
+	newestVersion config.Version
+	newerKnownAt  time.Time
+	// loadsDueAt is when loads are requested next.
+	loadsDueAt time.Time
+	hub        hubState
+	fallback   fallbackState
 
-	// Replying: clients are the hosts that poll this one.
+	// Replying. clients are the hosts that poll this one.
 	clients table.Table[ident.Host, client]
 	sums    loadSums
-	// bulkBytes counts the bytes of tables and of many registrations sent since the
-	// last tick, updatedLast is the host that was sent an update last.
+	// bulkBytes counts the bytes of tables and full batches of registrations sent since the
+	// last tick. lastUpdated is the host that was last sent an update.
 	bulkBytes   int
-	updatedLast ident.Host
+	lastUpdated ident.Host
 	batches     workerBatches
-	// tables are the newest route tables, packed what leads from each of them to the
-	// newest one.
-	tables table.Table[config.Version, config.RouteTable]
-	packed table.Table[config.Version, []byte]
+	// recentTables are the newest route tables. packedTables holds, by the version it starts
+	// from, the packed delta to the newest one.
+	recentTables table.Table[config.Version, config.RouteTable]
+	packedTables table.Table[config.Version, []byte]
 
-	// inForce is what is known of which tables are in force.
+	// inForce tracks which tables are in force.
 	inForce inforce.State
-	// zones are the drained zones that an entry host serves by, zonesInForce is what is known
-	// of which ones are in force.
+	// zones are the drained zones that this entry host serves by. zonesInForce tracks which
+	// revisions of them are in force.
 	zones        zones.Drained
 	zonesInForce inforce.State
-	// earlierReplicaAt is when a replica whose program knows nothing of zones last sent a
-	// message of the replicated log.
-	earlierReplicaAt time.Time
-	// relay is what a relay keeps, relays are those that a replica names; never changed in
-	// place.
+	// earlierReplicaSeenAt is when a replica of an earlier version, without support for drained
+	// zones, last sent a message of the replicated log.
+	earlierReplicaSeenAt time.Time
+	// relay is the state of this host as a relay. relays are those that a replica selected; the
+	// slice is never modified in place.
 	relay  relay.State
 	relays []hubs.Host
 	// replacements are the workers that clients of this hub found replaced.
 	replacements requests.Replacements
-	// lookedAt is when the registrations were last looked over.
-	lookedAt time.Time
-	// membership is what a replica keeps of the replicas that ask to be taken in.
+	// registryScannedAt is when the registrations were last scanned.
+	registryScannedAt time.Time
+	// membership tracks, on a replica, the replicas that asked to join.
 	membership membership.State
 }
 
-// tickSeeded lets time pass in a process of a seeded fleet.
+// tickSeeded runs the periodic work of a process of a seeded fleet.
 func (t *transition) tickSeeded() {
 	t.tickWrites()
 	t.tickReads()
@@ -89,7 +89,7 @@
 		t.tickRegistry()
 		t.tickCrashes()
 		t.pushUpdates()
-		t.releaseAnswers()
+		t.releaseWrites()
 		t.tickMembers()
 		t.maybeCompact()
 	}
@@ -97,31 +97,32 @@
 	if t.requests.Waiting() > 0 {
 		t.reduceRequests(requests.Tick{})
 	}
-	t.tickReady()
+	t.updateReady()
 }
 
-// tickReady decides whether this host tells the balancer that it is ready.
-func (t *transition) tickReady() {
-	ready := t.requests.Ready(t.now, t.readyNotice())
-	if ready != t.ready {
-		t.note(NoteReady, string(t.settings.ID), fmt.Sprintf("ready=%t version=%d gateway=%d", ready, t.config.Version, t.requests.Number()))
+// updateReady decides whether this host reports itself ready to the load balancer.
+func (t *transition) updateReady() {
+	isReady := t.requests.Ready(t.now, t.notReadyMargin())
+	if isReady != t.ready {
+		t.note(NoteReady, string(t.settings.ID), fmt.Sprintf("ready=%t version=%d gateway=%d", isReady, t.config.Version, t.requests.Number()))
 	}
-	t.ready = ready
+	t.ready = isReady
 }
 
-// balancerNotice is how long a balancer goes on sending connections to a host that is no
-// longer ready: it polls each second, believes the second reply, and needs some time for
-// the poll itself.
-const balancerNotice = 2400 * time.Millisecond
+// balancerDelay is how long a load balancer may keep sending connections to a host that has
+// become unready: it polls once a second, acts on the second reply, and a poll itself takes
+// some time.
+const balancerDelay = 2400 * time.Millisecond
 
-// readyNotice is how long before its key lease ends a host says that it is not ready, so
-// that no new connection meets a refusal. It leaves leaderTimeoutIntervals polls without a
-// confirmation before.
-func (t *transition) readyNotice() time.Duration {
-	return min(balancerNotice, max(0, t.requests.KeyLease()-leaderTimeoutIntervals*t.pollInterval()))
+// notReadyMargin returns how long before its key lease ends a host becomes unready, so that the
+// balancer has moved new connections before requests are refused. It allows
+// leaderTimeoutIntervals polls without a confirmation before that.
+func (t *transition) notReadyMargin() time.Duration {
+	return min(balancerDelay, max(0, t.requests.KeyLease()-leaderTimeoutIntervals*t.pollInterval()))
 }
 
-// reduceRequests feeds the requests of the route table and carries out what is decided.
+// reduceRequests feeds an event to the requests of the route table and logs or emits the
+// resulting decisions.
 func (t *transition) reduceRequests(ev requests.Event) {
 	next, decisions := requests.Reduce(t.requests, ev, t.now)
 	t.requests = next
