--- a/core/host/seeded_test.go
+++ b/core/host/seeded_test.go
@@ -19,16 +19,16 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// seededDisk is what survives a stop of a replica.
+// seededDisk simulates the disk of a replica, which survives a stop.
 type seededDisk struct {
 	identity ident.Host
 	boot     raft.Boot
-	// crashes is the list of crashes as of keptAt.
-	crashes []host.CrashEntry
-	keptAt  time.Time
+	// crashes is the crash list as of crashesSavedAt.
+	crashes        []host.CrashEntry
+	crashesSavedAt time.Time
 }
 
-func (d *seededDisk) write(p raft.Persist) {
+func (d *seededDisk) persist(p raft.Persist) {
 	d.boot.Hard = p.Hard
 	for _, e := range p.Entries {
 		for n := len(d.boot.Entries); n > 0 && d.boot.Entries[n-1].Index >= e.Index; n = len(d.boot.Entries) {
@@ -49,41 +49,40 @@
 	message  host.Message
 }
 
-// seededFleet is a small fleet found through seeds, under one clock, with
-// memory for disks and a network that can be cut.
+// seededFleet simulates a small seeded fleet with one clock, disks in memory and a network
+// whose links can be blocked.
 type seededFleet struct {
-	t       *testing.T
-	now     time.Time
-	states  map[ident.Host]host.State
-	disks   map[ident.Host]*seededDisk
-	order   []ident.Host
-	seeds   []ident.Host
-	down    map[ident.Host]bool
-	cut     map[[2]ident.Host]bool
-	wire    []seededPacket
-	writes  map[string]host.AnswerWrite
-	reads   map[string]bool
-	decided []requests.Decision
-	starts  uint64
-	voters  int
-	// beats are the answers to workers.
-	beats []host.HeartbeatAnswer
-	// seen, where set, is shown each message that arrives.
-	seen func(seededPacket)
-	// older are hosts that run a program which neither sends nor reads crashes and zones.
-	older map[ident.Host]bool
-	// hold, where set, is how long a message stays on its way; held are those that
-	// do.
-	hold func(seededPacket) time.Duration
-	held []heldPacket
-	// decision, where set, is shown what each host decides on requests.
-	decision func(ident.Host, requests.Decision)
+	t         *testing.T
+	now       time.Time
+	states    map[ident.Host]host.State
+	disks     map[ident.Host]*seededDisk
+	order     []ident.Host
+	seeds     []ident.Host
+	down      map[ident.Host]bool
+	blocked   map[[2]ident.Host]bool
+	wire      []seededPacket
+	writes    map[string]host.AnswerWrite
+	reads     map[string]bool
+	decisions []requests.Decision
+	starts    uint64
+	voters    int
+	// heartbeatAnswers are the answers to workers.
+	heartbeatAnswers []host.HeartbeatAnswer
+	// onDeliver, if set, is called with each message that is delivered.
+	onDeliver func(seededPacket)
+	// earlierHosts run an earlier version, which neither sends nor reads crashes and zones.
+	earlierHosts map[ident.Host]bool
+	// delay, if set, returns how long a message stays in transit. inTransit are the messages
+	// delayed so far.
+	delay     func(seededPacket) time.Duration
+	inTransit []delayedPacket
+	// onDecision, if set, is called with each decision on requests.
+	onDecision func(ident.Host, requests.Decision)
 	// entryStart is how long requests wait for an entry host that starts.
 	entryStart time.Duration
 }
 
-// heldPacket is a message that arrives later.
-type heldPacket struct {
+type delayedPacket struct {
 	seededPacket
 	due time.Time
 }
@@ -91,12 +90,11 @@
 func replicaName(i int) ident.Host { return ident.Host(fmt.Sprintf("10.0.0.%d:7000", i+1)) }
 func entryName(i int) ident.Host   { return ident.Host(fmt.Sprintf("10.0.1.%d:7000", i+1)) }
 
-// newSeededFleet starts n replicas, the first three of which are the seeds, and
-// m entry hosts.
+// newSeededFleet starts n replicas, the first three of which are the seeds, and m entry hosts.
 func newSeededFleet(t *testing.T, n, m int) *seededFleet {
 	f := &seededFleet{
 		t: t, now: time.Unix(5000, 0), states: map[ident.Host]host.State{}, disks: map[ident.Host]*seededDisk{},
-		down: map[ident.Host]bool{}, cut: map[[2]ident.Host]bool{}, writes: map[string]host.AnswerWrite{},
+		down: map[ident.Host]bool{}, blocked: map[[2]ident.Host]bool{}, writes: map[string]host.AnswerWrite{},
 		reads: map[string]bool{}, voters: min(5, n-1+n%2),
 	}
 	for i := range min(3, n) {
@@ -112,7 +110,6 @@
 	return f
 }
 
-// addReplica starts a replica with an empty disk.
 func (f *seededFleet) addReplica(id ident.Host, founder bool) {
 	f.starts++
 	d := &seededDisk{identity: id.WithDisk(fmt.Sprintf("disk-%d", f.starts))}
@@ -148,24 +145,24 @@
 		require.NoError(f.t, err)
 		aged := slices.Clone(d.crashes)
 		for i := range aged {
-			aged[i].Age += f.now.Sub(d.keptAt)
+			aged[i].Age += f.now.Sub(d.crashesSavedAt)
 		}
 		state = state.WithCrashes(aged, f.now)
 	}
 	f.states[id], f.down[id] = state, false
 }
 
-// zoneOf spreads the hosts over three zones.
+// zoneOf returns the zone of a host; hosts are spread over three.
 func (f *seededFleet) zoneOf(id ident.Host) ident.Zone {
 	return ident.Zone(fmt.Sprint("z", slices.Index(f.order, id)%3))
 }
 
 func (f *seededFleet) stop(id ident.Host) { f.down[id] = true }
 
-func (f *seededFleet) cutOff(id ident.Host, off bool) {
+func (f *seededFleet) partition(id ident.Host, off bool) {
 	for _, other := range f.order {
-		f.cut[[2]ident.Host{id, other}] = off
-		f.cut[[2]ident.Host{other, id}] = off
+		f.blocked[[2]ident.Host{id, other}] = off
+		f.blocked[[2]ident.Host{other, id}] = off
 	}
 }
 
@@ -180,25 +177,25 @@
 		case host.Send:
 			f.wire = append(f.wire, seededPacket{id, e.To, e.Message})
 		case host.Persist:
-			f.disks[id].write(e.Persist)
+			f.disks[id].persist(e.Persist)
 			for _, s := range e.Persist.Then {
 				to, m := f.states[id].Envelope(s)
 				f.wire = append(f.wire, seededPacket{id, to, m})
 			}
 			f.reduce(id, host.EntriesPersisted{Persisted: raft.Persisted{Index: e.Persist.Index, Term: e.Persist.Term}})
 		case host.KeepCrashes:
-			f.disks[id].crashes, f.disks[id].keptAt = e.Entries, f.now
+			f.disks[id].crashes, f.disks[id].crashesSavedAt = e.Entries, f.now
 		case host.AnswerWrite:
 			f.writes[e.ID] = e
 		case host.AnswerRead:
 			f.reads[e.ID] = e.OK
 		case host.RequestDecision:
-			f.decided = append(f.decided, e.Decision)
-			if f.decision != nil {
-				f.decision(id, e.Decision)
+			f.decisions = append(f.decisions, e.Decision)
+			if f.onDecision != nil {
+				f.onDecision(id, e.Decision)
 			}
 		case host.HeartbeatAnswer:
-			f.beats = append(f.beats, e)
+			f.heartbeatAnswers = append(f.heartbeatAnswers, e)
 		}
 	}
 }
@@ -211,25 +208,25 @@
 		for _, id := range f.order {
 			f.reduce(id, host.Tick{})
 		}
-		f.release()
+		f.deliverDue()
 		for range 6 {
 			batch := f.wire
 			f.wire = nil
 			for _, p := range batch {
-				f.carry(p)
+				f.transmit(p)
 			}
 		}
 	}
 }
 
-// carry delivers a message, loses it, or holds it up.
-func (f *seededFleet) carry(p seededPacket) {
-	if f.cut[[2]ident.Host{p.from, p.to}] || f.down[p.from] {
+// transmit delivers, drops or delays a message.
+func (f *seededFleet) transmit(p seededPacket) {
+	if f.blocked[[2]ident.Host{p.from, p.to}] || f.down[p.from] {
 		return
 	}
-	if f.hold != nil {
-		if d := f.hold(p); d > 0 {
-			f.held = append(f.held, heldPacket{p, f.now.Add(d)})
+	if f.delay != nil {
+		if d := f.delay(p); d > 0 {
+			f.inTransit = append(f.inTransit, delayedPacket{p, f.now.Add(d)})
 			return
 		}
 	}
@@ -237,26 +234,26 @@
 }
 
 func (f *seededFleet) deliver(p seededPacket) {
-	if f.older[p.from] || f.older[p.to] {
+	if f.earlierHosts[p.from] || f.earlierHosts[p.to] {
 		p.message = ofEarlierProgram(p.message)
 	}
-	if f.seen != nil {
-		f.seen(p)
+	if f.onDeliver != nil {
+		f.onDeliver(p)
 	}
 	f.reduce(p.to, host.Received{From: p.from, Message: p.message})
 }
 
-// release delivers what was held up until now.
-func (f *seededFleet) release() {
-	var later []heldPacket
-	for _, p := range f.held {
+// deliverDue delivers the delayed messages that are due.
+func (f *seededFleet) deliverDue() {
+	var later []delayedPacket
+	for _, p := range f.inTransit {
 		if p.due.After(f.now) {
 			later = append(later, p)
 			continue
 		}
 		f.deliver(p.seededPacket)
 	}
-	f.held = later
+	f.inTransit = later
 }
 
 func (f *seededFleet) leader() ident.Host {
@@ -283,9 +280,9 @@
 	return g
 }
 
-// put submits a route table at a replica and tells whether it was acknowledged
-// within the limit.
-func (f *seededFleet) put(at ident.Host, g config.RouteTable, limit time.Duration) bool {
+// putTable submits a route table at a replica, runs until limit has passed and reports whether
+// the table was acknowledged by then.
+func (f *seededFleet) putTable(at ident.Host, g config.RouteTable, limit time.Duration) bool {
 	f.starts++
 	id := fmt.Sprintf("write-%d", f.starts)
 	f.reduce(at, host.Submitted{
@@ -296,27 +293,27 @@
 	return f.writes[id].Known && f.writes[id].Result.Code == catalog.OK
 }
 
-// commit submits a route table at the leader and lets half a second pass, after which it
-// must be committed. Hosts that cannot be reached then hold its acknowledgement up.
-func (f *seededFleet) commit(at ident.Host, g config.RouteTable) string {
-	id := f.submit(at, g)
+// commitTable submits a route table at the leader and requires it to be committed within half a
+// second. Its acknowledgement may take longer if hosts are unreachable.
+func (f *seededFleet) commitTable(at ident.Host, g config.RouteTable) string {
+	id := f.submitTable(at, g)
 	f.run(500 * time.Millisecond)
 	require.Equal(f.t, g.Number, f.states[at].Config().Gateway.Number)
 	return id
 }
 
-// ask sends a request to an entry host and returns what was decided.
-func (f *seededFleet) ask(at ident.Host, path, key string) requests.Decision {
+// sendRequest sends a request to an entry host and returns the decision.
+func (f *seededFleet) sendRequest(at ident.Host, path, key string) requests.Decision {
 	f.starts++
-	f.decided = nil
+	f.decisions = nil
 	f.reduce(at, host.RequestEvent{Event: requests.Arrived{Request: requests.Request{
 		ID: ident.Request(fmt.Sprintf("r%d", f.starts)), Host: "a.example", Path: path, KeyHash: key,
 	}}})
-	require.Len(f.t, f.decided, 1)
-	return f.decided[0]
+	require.Len(f.t, f.decisions, 1)
+	return f.decisions[0]
 }
 
-func (f *seededFleet) beat(at ident.Host, id string, state registry.State, seq uint64) {
+func (f *seededFleet) sendHeartbeat(at ident.Host, id string, state registry.State, seq uint64) {
 	f.reduce(at, host.HeartbeatReceived{Worker: registry.Worker{
 		ID: ident.Target(id), Pool: "pool", Zone: "z", Address: "10.9.9.9:80", Slots: 4, State: state, Seq: seq,
 	}})
@@ -333,83 +330,82 @@
 	f := newSeededFleet(t, 3, 4)
 	f.run(5 * time.Second)
 	require.NotEmpty(t, f.leader())
-	require.Equal(t, requests.CodeNotReady, codeOf(t, f.ask(entryName(0), "/x/1", "k")))
-	require.True(t, f.put(replicaName(2), f.table(3, "k"), time.Second))
-	f.beat(replicaName(1), "w1", registry.Ready, 1)
+	require.Equal(t, requests.CodeNotReady, codeOf(t, f.sendRequest(entryName(0), "/x/1", "k")))
+	require.True(t, f.putTable(replicaName(2), f.table(3, "k"), time.Second))
+	f.sendHeartbeat(replicaName(1), "w1", registry.Ready, 1)
 	f.run(time.Second)
 	for i := range 4 {
 		require.True(t, f.states[entryName(i)].Ready())
-		require.IsType(t, requests.Dispatch{}, f.ask(entryName(i), "/x/1", "k"))
-		require.Equal(t, requests.CodeBadKey, codeOf(t, f.ask(entryName(i), "/x/1", "other")))
-		require.Equal(t, requests.CodeNoRoute, codeOf(t, f.ask(entryName(i), "/y/1", "k")))
+		require.IsType(t, requests.Dispatch{}, f.sendRequest(entryName(i), "/x/1", "k"))
+		require.Equal(t, requests.CodeBadKey, codeOf(t, f.sendRequest(entryName(i), "/x/1", "other")))
+		require.Equal(t, requests.CodeNoRoute, codeOf(t, f.sendRequest(entryName(i), "/y/1", "k")))
 	}
 }
 
-// TestHighestNumberPrevails sends an older table and other content under the
-// number held: both are taken note of and change nothing.
+// TestHighestNumberPrevails guards against a table being replaced by one with a lower number,
+// or by other content with the same number. Both are acknowledged and change nothing.
 func TestHighestNumberPrevails(t *testing.T) {
 	f := newSeededFleet(t, 3, 1)
 	f.run(5 * time.Second)
-	require.True(t, f.put(replicaName(0), f.table(9, "k"), time.Second))
+	require.True(t, f.putTable(replicaName(0), f.table(9, "k"), time.Second))
 	other := f.table(9, "k")
 	other.Source = []byte("other content")
-	require.True(t, f.put(replicaName(1), other, time.Second))
-	require.True(t, f.put(replicaName(2), f.table(4, "k"), time.Second))
+	require.True(t, f.putTable(replicaName(1), other, time.Second))
+	require.True(t, f.putTable(replicaName(2), f.table(4, "k"), time.Second))
 	for i := range 3 {
 		require.Equal(t, "document 9", string(f.states[replicaName(i)].Config().Gateway.Source))
 	}
-	require.False(t, f.put(replicaName(0), config.RouteTable{Number: 12, Routes: []config.Route{{Host: "h"}}}, time.Second))
+	require.False(t, f.putTable(replicaName(0), config.RouteTable{Number: 12, Routes: []config.Route{{Host: "h"}}}, time.Second))
 	require.EqualValues(t, 9, f.states[entryName(0)].Requests().Number())
 }
 
-// TestEntryLeavesAReplicaThatKnowsNoLeader cuts the replica that an entry host
-// asks off from the other replicas only: it answers, but knows nothing new.
+// TestEntryLeavesAReplicaThatKnowsNoLeader partitions the leader from the other replicas only.
+// Entry hosts must not stay with it, as it still replies but has nothing new.
 func TestEntryLeavesAReplicaThatKnowsNoLeader(t *testing.T) {
 	f := newSeededFleet(t, 3, 4)
 	f.run(5 * time.Second)
-	require.True(t, f.put(f.leader(), f.table(1, "k"), time.Second))
+	require.True(t, f.putTable(f.leader(), f.table(1, "k"), time.Second))
 	old := f.leader()
 	for i := range 3 {
-		f.cut[[2]ident.Host{old, replicaName(i)}] = true
-		f.cut[[2]ident.Host{replicaName(i), old}] = true
+		f.blocked[[2]ident.Host{old, replicaName(i)}] = true
+		f.blocked[[2]ident.Host{replicaName(i), old}] = true
 	}
 	f.run(4 * time.Second)
 	leader := f.leader()
 	require.NotEmpty(t, leader)
 	require.NotEqual(t, old, leader)
-	id := f.commit(leader, f.table(2, "k"))
+	id := f.commitTable(leader, f.table(2, "k"))
 	f.run(time.Second)
 	for i := range 4 {
 		require.EqualValues(t, 2, f.states[entryName(i)].Requests().Number(), "entry %d", i)
 		require.True(t, f.states[entryName(i)].Ready(), "entry %d", i)
 	}
-	require.True(t, f.acked(id))
+	require.True(t, f.isAcknowledged(id))
 }
 
-// TestKeysStopWorkingWhereNothingIsConfirmed cuts an entry host off from all
-// replicas: within the lease it serves no key any more.
+// TestKeysStopWorkingWhereNothingIsConfirmed partitions an entry host. It must refuse all keys
+// once its lease has ended.
 func TestKeysStopWorkingWhereNothingIsConfirmed(t *testing.T) {
 	f := newSeededFleet(t, 3, 2)
 	f.run(5 * time.Second)
-	require.True(t, f.put(f.leader(), f.table(1, "k", "l"), time.Second))
-	f.beat(replicaName(0), "w1", registry.Ready, 1)
+	require.True(t, f.putTable(f.leader(), f.table(1, "k", "l"), time.Second))
+	f.sendHeartbeat(replicaName(0), "w1", registry.Ready, 1)
 	f.run(time.Second)
-	f.cutOff(entryName(0), true)
+	f.partition(entryName(0), true)
 	f.run(seededStep)
-	require.IsType(t, requests.Dispatch{}, f.ask(entryName(0), "/x/1", "k"))
-	id := f.commit(f.leader(), f.table(2, "l"))
+	require.IsType(t, requests.Dispatch{}, f.sendRequest(entryName(0), "/x/1", "k"))
+	id := f.commitTable(f.leader(), f.table(2, "l"))
 	f.run(requests.DefaultKeyLease)
-	require.True(t, f.acked(id))
-	require.Equal(t, requests.CodeStale, codeOf(t, f.ask(entryName(0), "/x/1", "k")))
-	require.Equal(t, requests.CodeBadKey, codeOf(t, f.ask(entryName(1), "/x/1", "k")))
-	f.cutOff(entryName(0), false)
+	require.True(t, f.isAcknowledged(id))
+	require.Equal(t, requests.CodeStale, codeOf(t, f.sendRequest(entryName(0), "/x/1", "k")))
+	require.Equal(t, requests.CodeBadKey, codeOf(t, f.sendRequest(entryName(1), "/x/1", "k")))
+	f.partition(entryName(0), false)
 	f.run(time.Second)
-	require.Equal(t, requests.CodeBadKey, codeOf(t, f.ask(entryName(0), "/x/1", "k")))
+	require.Equal(t, requests.CodeBadKey, codeOf(t, f.sendRequest(entryName(0), "/x/1", "k")))
 }
 
-// TestWipedReplicaHasNoVote acknowledges by A and B, wipes A while B is dark
-// and C is behind: A and C together must not elect, or what was acknowledged
-// would be lost.
+// TestWipedReplicaHasNoVote commits a table on replicas A and B, wipes A and stops B. A and C,
+// which lacks the table, must not elect a leader, or the committed table would be lost.
 func TestWipedReplicaHasNoVote(t *testing.T) {
 	f := newSeededFleet(t, 3, 0)
 	f.run(5 * time.Second)
@@ -424,11 +420,11 @@
 			c = replicaName(i)
 		}
 	}
-	f.cutOff(c, true)
-	require.True(t, f.put(a, f.table(5, "k"), time.Second))
+	f.partition(c, true)
+	require.True(t, f.putTable(a, f.table(5, "k"), time.Second))
 	f.stop(b)
 	f.addReplica(a, false)
-	f.cutOff(c, false)
+	f.partition(c, false)
 	f.run(20 * time.Second)
 	require.Empty(t, f.leader(), "a wiped replica helped to elect one that is behind")
 	f.start(b)
@@ -446,12 +442,12 @@
 	require.Equal(t, 3, voters, "the wiped replica votes again once it has caught up")
 }
 
-// TestReplicaIsReplacedAtAnotherAddress loses a replica for good and starts an
-// empty one elsewhere; then another one may be lost.
+// TestReplicaIsReplacedAtAnotherAddress replaces a lost replica by an empty one at another
+// address. The fleet must then survive the loss of a second one.
 func TestReplicaIsReplacedAtAnotherAddress(t *testing.T) {
 	f := newSeededFleet(t, 3, 1)
 	f.run(5 * time.Second)
-	require.True(t, f.put(f.leader(), f.table(5, "k"), time.Second))
+	require.True(t, f.putTable(f.leader(), f.table(5, "k"), time.Second))
 	gone := f.leader()
 	f.stop(gone)
 	f.run(time.Second)
@@ -468,25 +464,25 @@
 	f.stop(second)
 	f.run(5 * time.Second)
 	require.NotEmpty(t, f.leader(), "the newcomer does not vote")
-	require.True(t, f.put(replicaName(7), f.table(6, "k"), 2*time.Second))
+	require.True(t, f.putTable(replicaName(7), f.table(6, "k"), 2*time.Second))
 	f.run(time.Second)
 	require.EqualValues(t, 6, f.states[entryName(0)].Requests().Number())
 }
 
-// TestReadIsConfirmedByTheNewestLeader cuts the leader off from the others: it
-// must not answer reads once another may have accepted a newer table.
+// TestReadIsConfirmedByTheNewestLeader partitions the leader. It must not answer reads once
+// another leader may have committed a newer table.
 func TestReadIsConfirmedByTheNewestLeader(t *testing.T) {
 	f := newSeededFleet(t, 3, 0)
 	f.run(5 * time.Second)
 	old := f.leader()
-	require.True(t, f.put(old, f.table(1, "k"), time.Second))
+	require.True(t, f.putTable(old, f.table(1, "k"), time.Second))
 	f.reduce(replicaName(0), host.Read{ID: "first", Deadline: f.now.Add(time.Second)})
 	f.run(300 * time.Millisecond)
 	require.True(t, f.reads["first"])
-	f.cutOff(old, true)
+	f.partition(old, true)
 	f.run(4 * time.Second)
 	leader := f.leader()
-	require.True(t, f.put(leader, f.table(2, "k"), time.Second))
+	require.True(t, f.putTable(leader, f.table(2, "k"), time.Second))
 	f.reduce(old, host.Read{ID: "stale", Deadline: f.now.Add(time.Second)})
 	f.reduce(leader, host.Read{ID: "new", Deadline: f.now.Add(time.Second)})
 	f.run(1500 * time.Millisecond)
@@ -494,49 +490,49 @@
 	require.True(t, f.reads["new"])
 }
 
-// TestLeavingWorkerIsKnownEverywhereAtOnce lets one replica hear that a worker
-// drains, and another one an older heartbeat after that.
+// TestLeavingWorkerIsKnownEverywhereAtOnce sends a worker's draining heartbeat to one replica
+// and an older ready one to another. No host may use the worker after that.
 func TestLeavingWorkerIsKnownEverywhereAtOnce(t *testing.T) {
 	f := newSeededFleet(t, 3, 3)
 	f.run(5 * time.Second)
-	require.True(t, f.put(f.leader(), f.table(1, "k"), time.Second))
-	f.beat(replicaName(0), "w1", registry.Ready, 1)
-	f.beat(replicaName(1), "w2", registry.Ready, 1)
+	require.True(t, f.putTable(f.leader(), f.table(1, "k"), time.Second))
+	f.sendHeartbeat(replicaName(0), "w1", registry.Ready, 1)
+	f.sendHeartbeat(replicaName(1), "w2", registry.Ready, 1)
 	f.run(time.Second)
-	f.beat(replicaName(1), "w1", registry.Draining, 3)
-	f.beat(replicaName(2), "w1", registry.Ready, 2)
+	f.sendHeartbeat(replicaName(1), "w1", registry.Draining, 3)
+	f.sendHeartbeat(replicaName(2), "w1", registry.Ready, 2)
 	f.run(2 * seededStep)
 	for i := range 3 {
 		for range 8 {
-			d, ok := f.ask(entryName(i), "/x/1", "k").(requests.Dispatch)
+			d, ok := f.sendRequest(entryName(i), "/x/1", "k").(requests.Dispatch)
 			require.True(t, ok)
 			require.EqualValues(t, "w2", d.Worker.ID)
 		}
 	}
 }
 
-// TestRestartedReplicaDoesNotEmptyThePools restarts all replicas: that they
-// know no worker is no sign that workers are gone.
+// TestRestartedReplicaDoesNotEmptyThePools restarts all replicas, which then know no workers.
+// Entry hosts must not conclude that the workers are gone.
 func TestRestartedReplicaDoesNotEmptyThePools(t *testing.T) {
 	f := newSeededFleet(t, 3, 1)
 	f.run(5 * time.Second)
-	require.True(t, f.put(f.leader(), f.table(1, "k"), time.Second))
-	f.beat(replicaName(0), "w1", registry.Ready, 1)
+	require.True(t, f.putTable(f.leader(), f.table(1, "k"), time.Second))
+	f.sendHeartbeat(replicaName(0), "w1", registry.Ready, 1)
 	f.run(time.Second)
 	for i := range 3 {
 		f.start(replicaName(i))
 	}
 	f.run(8 * time.Second)
 	require.True(t, f.states[entryName(0)].Ready())
-	require.IsType(t, requests.Dispatch{}, f.ask(entryName(0), "/x/1", "k"))
+	require.IsType(t, requests.Dispatch{}, f.sendRequest(entryName(0), "/x/1", "k"))
 }
 
-// TestVotersGrowFromTheSeeds starts six replicas that shall bear the loss of
-// two: the three seeds form the group and take the others in.
+// TestVotersGrowFromTheSeeds starts six replicas. The three seeds form the initial group and
+// must add voters until the fleet survives the loss of two.
 func TestVotersGrowFromTheSeeds(t *testing.T) {
 	f := newSeededFleet(t, 6, 2)
 	f.run(8 * time.Second)
-	require.True(t, f.put(f.leader(), f.table(1, "k"), time.Second))
+	require.True(t, f.putTable(f.leader(), f.table(1, "k"), time.Second))
 	voters := 0
 	for _, m := range f.states[f.leader()].Raft().Members() {
 		if m.Voter {
@@ -549,18 +545,17 @@
 		f.run(6 * time.Second)
 		require.NotEmpty(t, f.leader())
 	}
-	require.True(t, f.put(f.leader(), f.table(2, "k"), time.Second))
+	require.True(t, f.putTable(f.leader(), f.table(2, "k"), time.Second))
 	f.run(time.Second)
 	require.EqualValues(t, 2, f.states[entryName(0)].Requests().Number())
 }
 
-// TestReplicaThatWasPutOutComesBack cuts a replica without a vote off until the
-// leader has removed it: once it is back it asks to be taken in, and what a
-// worker tells it reaches the entry hosts.
-func TestReplicaThatWasPutOutComesBack(t *testing.T) {
+// TestRemovedReplicaRejoins partitions a non-voting replica until the leader removes it. Once
+// reconnected it must rejoin, so that heartbeats sent to it reach the entry hosts.
+func TestRemovedReplicaRejoins(t *testing.T) {
 	f := newSeededFleet(t, 6, 2)
 	f.run(8 * time.Second)
-	require.True(t, f.put(f.leader(), f.table(1, "k"), time.Second))
+	require.True(t, f.putTable(f.leader(), f.table(1, "k"), time.Second))
 	var learner ident.Host
 	for _, m := range f.states[f.leader()].Raft().Members() {
 		if !m.Voter {
@@ -569,21 +564,20 @@
 	}
 	require.NotEmpty(t, learner)
 	at := learner.Address()
-	f.cutOff(at, true)
+	f.partition(at, true)
 	f.run(6 * time.Second)
 	require.False(t, f.states[f.leader()].Raft().IsMember(learner))
-	f.cutOff(at, false)
+	f.partition(at, false)
 	f.run(4 * time.Second)
 	require.True(t, f.states[f.leader()].Raft().IsMember(learner))
-	f.beat(at, "w1", registry.Ready, 1)
+	f.sendHeartbeat(at, "w1", registry.Ready, 1)
 	f.run(time.Second)
-	require.IsType(t, requests.Dispatch{}, f.ask(entryName(0), "/x/1", "k"))
+	require.IsType(t, requests.Dispatch{}, f.sendRequest(entryName(0), "/x/1", "k"))
 }
 
-// TestSlowWriteStandsOnceInTheLog lets no follower answer for a while: a write
-// that waits must not be written to the log again and again, or what holds it
-// up would only grow.
-func TestSlowWriteStandsOnceInTheLog(t *testing.T) {
+// TestSlowWriteIsLoggedOnce blocks the followers' replies. A pending write must not be appended
+// to the log on each resend.
+func TestSlowWriteIsLoggedOnce(t *testing.T) {
 	f := newSeededFleet(t, 3, 0)
 	f.run(5 * time.Second)
 	leader := f.leader()
@@ -591,8 +585,8 @@
 	for i := range 3 {
 		if replicaName(i) != leader {
 			other = replicaName(i)
-			// Heartbeats pass, entries do not: only the way back is cut at first.
-			f.cut[[2]ident.Host{replicaName(i), leader}] = true
+			// Only the way back is blocked: followers receive entries but cannot confirm them.
+			f.blocked[[2]ident.Host{replicaName(i), leader}] = true
 		}
 	}
 	before := f.states[leader].Raft().Log().Last()
@@ -603,12 +597,12 @@
 	f.run(800 * time.Millisecond)
 	require.EqualValues(t, before+1, f.states[leader].Raft().Log().Last())
 	for i := range 3 {
-		f.cut[[2]ident.Host{replicaName(i), leader}] = false
+		f.blocked[[2]ident.Host{replicaName(i), leader}] = false
 	}
 	f.run(3 * time.Second)
 	require.True(t, f.writes["own"].Known)
 
-	// The same for a write that another replica hands over.
+	// A forwarded write must be logged once too.
 	leader = f.leader()
 	if other == leader {
 		other = replicaName(0)
@@ -617,42 +611,43 @@
 		}
 	}
 	before = f.states[leader].Raft().Log().Last()
-	require.True(t, f.put(other, f.table(2, "k"), 2*time.Second))
+	require.True(t, f.putTable(other, f.table(2, "k"), 2*time.Second))
 	require.EqualValues(t, before+1, f.states[leader].Raft().Log().Last())
 }
 
-// TestHostThatHearsNoLeaderLeavesBeforeItsLeaseEnds cuts an entry host off: the balancer
-// is told while the host still serves, so that no new connection meets a refusal, and
-// what comes on old ones is sent elsewhere.
-func TestHostThatHearsNoLeaderLeavesBeforeItsLeaseEnds(t *testing.T) {
+// TestHostWithoutLeaderIsUnreadyBeforeItsLeaseEnds partitions an entry host. It must become
+// unready while it still serves, so that the load balancer moves new connections before
+// requests are refused.
+func TestHostWithoutLeaderIsUnreadyBeforeItsLeaseEnds(t *testing.T) {
 	f := newSeededFleet(t, 3, 2)
 	f.run(5 * time.Second)
-	require.True(t, f.put(f.leader(), f.table(1, "k"), time.Second))
-	f.beat(replicaName(0), "w1", registry.Ready, 1)
+	require.True(t, f.putTable(f.leader(), f.table(1, "k"), time.Second))
+	f.sendHeartbeat(replicaName(0), "w1", registry.Ready, 1)
 	f.run(time.Second)
 	require.True(t, f.states[entryName(0)].Ready())
-	f.cutOff(entryName(0), true)
+	f.partition(entryName(0), true)
 	f.run(2 * time.Second)
 	require.False(t, f.states[entryName(0)].Ready())
 	require.True(t, f.states[entryName(1)].Ready())
-	require.IsType(t, requests.Dispatch{}, f.ask(entryName(0), "/x/1", "k"))
+	require.IsType(t, requests.Dispatch{}, f.sendRequest(entryName(0), "/x/1", "k"))
 	f.run(requests.DefaultKeyLease)
-	require.True(t, f.ask(entryName(0), "/x/1", "k").(requests.Finish).Verdict.Elsewhere)
-	f.cutOff(entryName(0), false)
+	require.True(t, f.sendRequest(entryName(0), "/x/1", "k").(requests.Finish).Verdict.Elsewhere)
+	f.partition(entryName(0), false)
 	f.run(time.Second)
 	require.True(t, f.states[entryName(0)].Ready())
 }
 
-// TestHostIsReadyOnceItKnowsWorkers starts an entry host in a fleet without workers.
+// TestHostIsReadyOnceItKnowsWorkers starts an entry host in a fleet without workers. It must
+// wait for one before it becomes ready.
 func TestHostIsReadyOnceItKnowsWorkers(t *testing.T) {
 	f := newSeededFleet(t, 3, 1)
 	f.run(5 * time.Second)
-	require.True(t, f.put(f.leader(), f.table(1, "k"), time.Second))
+	require.True(t, f.putTable(f.leader(), f.table(1, "k"), time.Second))
 	f.entryStart = 2 * time.Second
 	f.start(entryName(0))
 	f.run(time.Second)
 	require.False(t, f.states[entryName(0)].Ready())
-	f.beat(replicaName(0), "w1", registry.Ready, 1)
+	f.sendHeartbeat(replicaName(0), "w1", registry.Ready, 1)
 	f.run(200 * time.Millisecond)
 	require.True(t, f.states[entryName(0)].Ready())
 	f.start(entryName(0))
--- a/core/host/suspended_test.go
+++ b/core/host/suspended_test.go
@@ -11,13 +11,13 @@
 	"github.com/yardhall/yardhall/core/host"
 )
 
-// TestWritesBearTheTimeOfDay suspends a leader's machine for an hour: its leases count that
-// hour, and what it writes bears the time of day, by which keys that callers name are fresh
-// or too old at every replica.
-func TestWritesBearTheTimeOfDay(t *testing.T) {
+// TestWritesCarryWallClockTime suspends the leader's machine for an hour. Leases must count
+// that hour, but writes must carry the wall clock time, or replicas would judge the age of
+// idempotency keys wrongly.
+func TestWritesCarryWallClockTime(t *testing.T) {
 	f := newSeededFleet(t, 3, 1)
 	f.run(8 * time.Second)
-	require.True(t, f.put(f.leader(), f.table(1, "k"), 3*time.Second))
+	require.True(t, f.putTable(f.leader(), f.table(1, "k"), 3*time.Second))
 	leader := f.leader()
 	day := f.now
 	f.now = f.now.Add(time.Hour)
@@ -26,7 +26,7 @@
 		f.reduce(id, host.Suspended{Total: time.Hour})
 	}
 	f.run(8 * time.Second)
-	require.True(t, f.put(f.leader(), f.table(2, "k"), 3*time.Second))
+	require.True(t, f.putTable(f.leader(), f.table(2, "k"), 3*time.Second))
 	written := f.states[f.leader()].Catalog().Time
 	require.WithinDuration(t, day, written, time.Minute)
 	require.True(t, written.After(day))
--- a/core/host/table_test.go
+++ b/core/host/table_test.go
@@ -16,7 +16,7 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// largeTable is a route table of many routes with its source.
+// largeTable returns a route table with many routes and its source.
 func largeTable(t *testing.T, number uint64, routes int) config.RouteTable {
 	g := routeTable(routes)
 	g.Number = number
@@ -30,20 +30,20 @@
 	return g
 }
 
-// TestSmallChangeOfALargeTableIsASmallEntry changes one of 1,600 routes, once
-// by the leader and once by another replica.
+// TestSmallChangeOfALargeTableIsASmallEntry guards against a change of one of 1,600 routes
+// logging the whole table, at the leader and at another replica.
 func TestSmallChangeOfALargeTableIsASmallEntry(t *testing.T) {
 	f := newSeededFleet(t, 3, 1)
 	f.run(5 * time.Second)
 	leader := f.leader()
-	require.True(t, f.put(leader, largeTable(t, 1, 1600), 5*time.Second))
+	require.True(t, f.putTable(leader, largeTable(t, 1, 1600), 5*time.Second))
 	number := uint64(1)
-	for _, at := range []ident.Host{leader, f.follower()} {
+	for _, at := range []ident.Host{leader, f.anyFollower()} {
 		number++
 		next := largeTable(t, number, 1600)
 		next.Routes[800].MaxAttempts = int(number) + 5
 		next = withSource(t, next)
-		require.True(t, f.put(at, next, 5*time.Second))
+		require.True(t, f.putTable(at, next, 5*time.Second))
 		log := f.states[leader].Raft().Log()
 		require.Less(t, len(log.At(log.Last()).Data), 2000)
 		f.run(2 * time.Second)
@@ -56,17 +56,17 @@
 	}
 }
 
-// TestRacingChangesAreAllTaken sends two changes at once to two replicas: the
-// later one in the log was made from a table that is no longer in force.
-func TestRacingChangesAreAllTaken(t *testing.T) {
+// TestRacingChangesAreAllAccepted submits two changes at once at two replicas. The one logged
+// later is a patch of an outdated table and must be rebuilt, not lost.
+func TestRacingChangesAreAllAccepted(t *testing.T) {
 	f := newSeededFleet(t, 3, 0)
 	f.run(5 * time.Second)
 	leader := f.leader()
-	require.True(t, f.put(leader, largeTable(t, 1, 40), 5*time.Second))
+	require.True(t, f.putTable(leader, largeTable(t, 1, 40), 5*time.Second))
 	for id, race := range map[string]struct {
 		at     ident.Host
 		number uint64
-	}{"lower": {leader, 5}, "higher": {f.follower(), 6}} {
+	}{"lower": {leader, 5}, "higher": {f.anyFollower(), 6}} {
 		g := largeTable(t, race.number, 40+int(race.number))
 		f.reduce(race.at, host.Submitted{
 			Write:    catalog.Write{ID: id, Command: catalog.Edit{Change: config.PutRouteTable{Gateway: g}}},
@@ -85,21 +85,21 @@
 	}
 }
 
-// TestOlderTableNeedsNoPlaceInTheLog resends tables that have been overtaken, to
-// the leader and to another replica.
-func TestOlderTableNeedsNoPlaceInTheLog(t *testing.T) {
+// TestSupersededTableIsNotLogged resubmits superseded tables at the leader and at another
+// replica. They must be answered without being logged.
+func TestSupersededTableIsNotLogged(t *testing.T) {
 	f := newSeededFleet(t, 3, 0)
 	f.run(5 * time.Second)
-	require.True(t, f.put(f.leader(), largeTable(t, 7, 400), 3*time.Second))
+	require.True(t, f.putTable(f.leader(), largeTable(t, 7, 400), 3*time.Second))
 	f.run(time.Second)
 	before := f.states[f.leader()].Raft().Log().Last()
-	for _, at := range []ident.Host{f.leader(), f.follower()} {
+	for _, at := range []ident.Host{f.leader(), f.anyFollower()} {
 		for _, number := range []uint64{3, 7} {
-			require.True(t, f.put(at, largeTable(t, number, 300), 2*seededStep), "a word with the leader is enough")
+			require.True(t, f.putTable(at, largeTable(t, number, 300), 2*seededStep), "a word with the leader is enough")
 		}
 		invalid := largeTable(t, 3, 300)
 		invalid.Routes[0].Timeout = 0
-		require.False(t, f.put(at, invalid, 2*time.Second), "what is invalid is refused, whatever its number")
+		require.False(t, f.putTable(at, invalid, 2*time.Second), "what is invalid is refused, whatever its number")
 	}
 	require.Equal(t, string(largeTable(t, 7, 400).Source), string(f.states[f.leader()].Config().Gateway.Source))
 	log := f.states[f.leader()].Raft().Log()
@@ -108,12 +108,12 @@
 	}
 }
 
-// TestStormOfChangesStaysSmall sends twenty changes at once, over all replicas:
-// all but one are made from a table that is no longer in force.
-func TestStormOfChangesStaysSmall(t *testing.T) {
+// TestConcurrentChangesAreLoggedAsPatches submits twenty changes at once at all replicas. All
+// but one are made from an outdated table and must not be logged as whole tables.
+func TestConcurrentChangesAreLoggedAsPatches(t *testing.T) {
 	f := newSeededFleet(t, 3, 1)
 	f.run(5 * time.Second)
-	require.True(t, f.put(f.leader(), largeTable(t, 1, 800), 3*time.Second))
+	require.True(t, f.putTable(f.leader(), largeTable(t, 1, 800), 3*time.Second))
 	before := f.states[f.leader()].Raft().Log().Last()
 	const changes = 20
 	for i := range changes {
@@ -136,8 +136,8 @@
 	require.Less(t, bytes, 200_000, "a whole table has 20,000")
 }
 
-// follower is a replica that does not lead.
-func (f *seededFleet) follower() ident.Host {
+// anyFollower returns a replica that is not the leader.
+func (f *seededFleet) anyFollower() ident.Host {
 	for _, id := range f.order {
 		if f.disks[id] != nil && id != f.leader() {
 			return id
@@ -146,8 +146,8 @@
 	return ""
 }
 
-// BenchmarkChangeOfALargeTable is one change of one route of 1,600 on a fleet of
-// one replica: what each replica spends to take, log, apply and hand on a change.
+// BenchmarkChangeOfALargeTable measures a change of one of 1,600 routes on a fleet of one
+// replica, from submission to the update of an entry host.
 func BenchmarkChangeOfALargeTable(b *testing.B) {
 	f := newSeededFleet(&testing.T{}, 1, 1)
 	f.run(5 * time.Second)
--- a/core/host/tables.go
+++ b/core/host/tables.go
@@ -7,39 +7,38 @@
 	"github.com/yardhall/yardhall/core/table"
 )
 
-// tableHistory is how many route tables back a client may be and still be sent only what
-// changed. Chosen, not measured.
+// tableHistory is how many route tables a client may be behind and still be sent a delta.
 const tableHistory = 32
 
-// rememberTable keeps the tables from which clients may follow. Each delta is packed once
-// a version.
-func (t *transition) rememberTable(cfg config.Config) {
+// recordTable keeps a table as a base for deltas and discards the packed deltas to older
+// versions.
+func (t *transition) recordTable(cfg config.Config) {
 	if !t.repliesToPolls() {
 		return
 	}
-	t.seeded.tables = t.seeded.tables.With(cfg.Version, cfg.Gateway.WithoutSource())
-	for t.seeded.tables.Len() > tableHistory {
-		oldest, _, _ := t.seeded.tables.First()
-		t.seeded.tables = t.seeded.tables.Without(oldest)
+	t.seeded.recentTables = t.seeded.recentTables.With(cfg.Version, cfg.Gateway.WithoutSource())
+	for t.seeded.recentTables.Len() > tableHistory {
+		oldest, _, _ := t.seeded.recentTables.First()
+		t.seeded.recentTables = t.seeded.recentTables.Without(oldest)
 	}
-	t.seeded.packed = table.Table[config.Version, []byte]{}
+	t.seeded.packedTables = table.Table[config.Version, []byte]{}
 }
 
-// packedTable is what leads from the table of a version to the newest one: a delta, or
-// with base 0 the whole table.
+// packedTable returns the packed delta from the table of a version to the newest one, or with
+// base 0 the whole table.
 func (t *transition) packedTable(from config.Version) (record []byte, base config.Version) {
 	newest := t.heldConfig().Gateway
-	old, ok := t.seeded.tables.Get(from)
+	old, ok := t.seeded.recentTables.Get(from)
 	if !ok || old.Number == 0 {
 		from = 0
 	}
-	record, ok = t.seeded.packed.Get(from)
+	record, ok = t.seeded.packedTables.Get(from)
 	if !ok {
 		record = newest.Packed()
 		if from != 0 {
 			record = old.DeltaTo(newest).Packed()
 		}
-		t.seeded.packed = t.seeded.packed.With(from, record)
+		t.seeded.packedTables = t.seeded.packedTables.With(from, record)
 	}
 	return record, from
 }
--- a/core/host/targets.go
+++ b/core/host/targets.go
@@ -105,7 +105,7 @@
 	if !ok || !t.groups.Has(gid.String()) {
 		return
 	}
-	for _, p := range t.layout.services[gid.Service] {
+	for _, p := range t.layout.groupsByService[gid.Service] {
 		if p.id == gid {
 			g, _ := t.groups.Get(gid.String())
 			g = g.WithEngines(t.specs(p.id, p.targets), t.now)
--- a/core/host/times_test.go
+++ b/core/host/times_test.go
@@ -14,11 +14,12 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// TestTimesFitTogether holds what the comments of the constants say of each other.
-func TestTimesFitTogether(t *testing.T) {
+// TestTimeoutsAreConsistent checks the relations between timeouts that the comments of the
+// constants state.
+func TestTimeoutsAreConsistent(t *testing.T) {
 	const heartbeat = 1200 * time.Millisecond
-	require.Equal(t, WorkerTimeout(heartbeat), defaultWorkerSilence)
-	require.Less(t, relay.Interval+relay.ReplicaTimeout+heartbeat, defaultWorkerSilence)
+	require.Equal(t, WorkerTimeout(heartbeat), defaultWorkerTimeout)
+	require.Less(t, relay.Interval+relay.ReplicaTimeout+heartbeat, defaultWorkerTimeout)
 	require.Greater(t, relay.ReplicaTimeout, maxPollInterval)
 	require.Greater(t, replicaTimeout, 2*maxPollInterval)
 	require.Greater(t, clientLifetime, 2*maxPollInterval)
@@ -26,12 +27,12 @@
 	require.Equal(t, hubs.FailedAfter, maxLeaderWait)
 	require.Greater(t, fallbackAfter, leaderTimeoutIntervals*minPollInterval)
 	require.Equal(t, requests.DefaultKeyLease, 2*maxLeaderWait)
-	require.Less(t, balancerNotice, requests.DefaultKeyLease)
+	require.Less(t, balancerDelay, requests.DefaultKeyLease)
 }
 
 func TestSeededFleetsElectSooner(t *testing.T) {
 	o := SeededRaftOptions(raft.Options{})
-	require.Equal(t, raft.Options{Election: seededElection, Heartbeat: seededHeartbeat}, o)
+	require.Equal(t, raft.Options{Election: seededElectionTimeout, Heartbeat: seededHeartbeatInterval}, o)
 	require.Equal(t, raft.Options{Election: time.Minute}, SeededRaftOptions(raft.Options{Election: time.Minute}))
 	require.Greater(t, MaxStartupTime(), 2*o.Election)
 	require.Greater(t, o.Election, 4*o.Heartbeat)
--- a/core/host/updates.go
+++ b/core/host/updates.go
@@ -38,11 +38,11 @@
 func (t *transition) pushUpdates() {
 	t.seeded.bulkBytes = 0
 	sent := 0
-	for _, id := range t.seeded.clients.KeysAfter(t.seeded.updatedLast) {
+	for _, id := range t.seeded.clients.KeysAfter(t.seeded.lastUpdated) {
 		c, _ := t.seeded.clients.Get(id)
 		if c.live(t.now) && (t.tableDue(c) || t.registrationsDue(c) || t.crashListDue(c) || t.zonesDue(c)) {
 			t.replyTo(id, c, Poll{})
-			t.seeded.updatedLast = id
+			t.seeded.lastUpdated = id
 			sent++
 		}
 		if sent == updatesPerTick {
@@ -73,7 +73,7 @@
 // the registrations of thousands of workers would go to hundreds of hosts, which fills its
 // link for longer than the fleet needs to start.
 func (t *transition) hubsExpected() bool {
-	return t.settings.IsReplica() && t.seeded.hub.list.Len() == 0 && t.seeded.clients.Len() > t.hubsAbove() &&
+	return t.settings.IsReplica() && t.seeded.hub.list.Len() == 0 && t.seeded.clients.Len() > t.hubThreshold() &&
 		t.now.Sub(t.started) < hubWarmUp+hubs.Settle
 }
 
--- a/core/host/view.go
+++ b/core/host/view.go
@@ -16,25 +16,25 @@
 	"github.com/yardhall/yardhall/core/routing"
 )
 
-// Config returns the configuration in force here.
+// Config returns the current configuration.
 func (s State) Config() config.Config { return s.config }
 
-// Catalog returns the replicated state; empty on a host that keeps none.
+// Catalog returns the replicated state. It is empty on a host that is no replica.
 func (s State) Catalog() catalog.Catalog { return s.catalog }
 
-// Raft returns the replica; inactive on a host that keeps no log.
+// Raft returns the Raft state. It is inactive on a host that is no replica.
 func (s State) Raft() raft.State { return s.raft }
 
-// Ready tells whether new requests should come to this host.
+// Ready reports whether new requests should be sent to this host.
 func (s State) Ready() bool { return s.ready && !s.draining }
 
-// Draining tells whether a planned stop has begun.
+// Draining reports whether a planned stop has begun.
 func (s State) Draining() bool { return s.draining }
 
-// Idle tells whether no request is in flight here.
+// Idle reports whether no request is in flight.
 func (s State) Idle() bool { return s.calls.Len() == 0 && s.requests.Idle() }
 
-// Requests returns the route table's part of this host.
+// Requests returns the state of requests to the route table's pools.
 func (s State) Requests() requests.State { return s.requests }
 
 // ReplicaAddresses returns the seeds followed by the addresses of the Raft members known to
@@ -47,13 +47,13 @@
 	return out
 }
 
-// Registry returns the registrations heard by this replica.
+// Registry returns the worker registrations that this host keeps.
 func (s State) Registry() registry.Registry { return s.registry }
 
-// Counters returns what was counted so far.
+// Counters returns the counters of this process.
 func (s State) Counters() Counters { return s.counters }
 
-// Leader returns the leader as known here, or "".
+// Leader returns the leader known to this host, or "".
 func (s State) Leader() ident.Host { return s.leaderHint() }
 
 func (s State) leaderHint() ident.Host {
@@ -63,10 +63,11 @@
 	return s.leader
 }
 
-// Seeded tells whether replicas are found through seeds, and a route table is served.
+// Seeded reports whether this host belongs to a seeded fleet, which finds its replicas through
+// seeds and serves a route table.
 func (s State) Seeded() bool { return s.settings.Seeded() }
 
-// Dump is a process's whole state without secrets and prompts.
+// Dump is the state of a process, without secrets and prompts.
 type Dump struct {
 	Host        ident.Host
 	Zone        ident.Zone
@@ -86,7 +87,7 @@
 	Counters    Counters
 }
 
-// DumpReplica is the replicated log's part of a Dump.
+// DumpReplica is the Raft state of a replica.
 type DumpReplica struct {
 	Role      string
 	Term      raft.Term
@@ -101,28 +102,29 @@
 	Followers []DumpFollower
 }
 
-// DumpSync is what a host of a seeded fleet knows of replicas and hubs.
+// DumpSync is what a host of a seeded fleet knows about replicas and hubs.
 type DumpSync struct {
-	// Hosts is how many entry hosts there are, Hubs which of them are hubs; Asks are
-	// the hosts that this one asked last.
+	// Hosts is the number of entry hosts, Hubs are the hubs among them, and Asks are the hosts
+	// polled last by this one.
 	Hosts int
 	Hubs  []ident.Host
 	Asks  []ident.Host
-	// Serves is set on a replica and on a hub, Askers is how many hosts ask it.
+	// Serves is set if this host replies to polls, Askers is the number of hosts that poll it.
 	Serves bool
 	Askers int
-	// ConfirmedAt is as of when the route table held was surely the newest.
+	// ConfirmedAt is the latest time as of which the route table held was confirmed to be the
+	// newest.
 	ConfirmedAt time.Time
 	Workers     int
-	// Crashes are the requests under which workers ended.
+	// Crashes are the requests during which workers crashed.
 	Crashes []DumpCrash
-	// Drained are the drained zones, ZonesRevision how many orders have changed zones.
+	// Drained are the drained zones, ZonesRevision is the number of orders that changed zones.
 	Drained       []ident.Zone
 	ZonesRevision uint64
 }
 
-// DumpCrash is a request under which Ends workers ended in a row, the last one at At; with
-// Ends 0 one was answered then.
+// DumpCrash is a request during which Ends workers crashed in a row, the last one at At. If
+// Ends is 0, At is when such a request was answered.
 type DumpCrash struct {
 	Content string
 	Ends    int
@@ -130,14 +132,15 @@
 	Refused bool
 }
 
-// DumpMember is one replica as the leader sees it.
+// DumpMember is a replica as the leader sees it.
 type DumpMember struct {
 	Host  ident.Host
 	Voter bool
 	Match raft.Index
 }
 
-// DumpFollower is the version that a host last named.
+// DumpFollower is a host that replicates its configuration from this one, with the version it
+// last requested.
 type DumpFollower struct {
 	Host    ident.Host
 	Version config.Version
@@ -154,7 +157,7 @@
 	Heard    time.Time
 }
 
-// DumpGroup is a group that this host owns.
+// DumpGroup is a group owned by this host.
 type DumpGroup struct {
 	Group   string
 	Load    int
@@ -165,7 +168,7 @@
 	Engines []routing.Engine
 }
 
-// DumpTarget is the health of a target as seen here.
+// DumpTarget is the health of a target as seen by this host.
 type DumpTarget struct {
 	Target  ident.Target
 	Usable  bool
@@ -189,7 +192,7 @@
 	return [...]string{"claiming", "asking", "queued", "waiting", "running", "fetching"}[p]
 }
 
-// Dump returns the state for operators at now.
+// Dump returns the state at now for operators.
 func (s State) Dump(now time.Time) Dump {
 	d := Dump{
 		Host: s.settings.ID, Zone: s.settings.Zone, Incarnation: s.settings.Incarnation, Started: s.started,
@@ -242,7 +245,7 @@
 
 func (s State) dumpSync(now time.Time) *DumpSync {
 	d := &DumpSync{
-		Hosts: s.seeded.hosts, Asks: s.seeded.hub.polledLast, Serves: s.settings.IsReplica() || s.seeded.hub.serves,
+		Hosts: s.seeded.hosts, Asks: s.seeded.hub.lastPolled, Serves: s.settings.IsReplica() || s.seeded.hub.serves,
 		Askers: s.seeded.clients.Len(), ConfirmedAt: s.requests.Confirmed().AsOf, Workers: s.requests.KnownWorkers(),
 		Drained: s.heldZones().List(), ZonesRevision: s.heldZones().Revision,
 	}
@@ -256,11 +259,11 @@
 	return d
 }
 
-// Incarnation is the start of this process.
+// Incarnation returns the number that identifies this start of the process.
 func (s State) Incarnation() uint64 { return s.settings.Incarnation }
 
-// Zone is the availability zone of this host.
+// Zone returns the availability zone of this host.
 func (s State) Zone() ident.Zone { return s.settings.Zone }
 
-// ID is the name of this host.
+// ID returns the name of this host.
 func (s State) ID() ident.Host { return s.settings.ID }
--- a/core/host/wire.go
+++ b/core/host/wire.go
@@ -11,17 +11,17 @@
 	"github.com/yardhall/yardhall/core/routing"
 )
 
-// WireType is a type with its name on the wire. The name stands before each
-// message, so it is short; it must never change its meaning.
+// WireType is a message type with its name on the wire. The name precedes each message, so it
+// is short. It must never change or be reused.
 type WireType struct {
 	Name  string
 	Value any
 }
 
-// maxWireTypes is a little above their number.
+// maxWireTypes is the initial capacity of the list.
 const maxWireTypes = 64
 
-// WireTypes lists every type that travels inside an interface.
+// WireTypes returns all types that are sent inside an interface.
 func WireTypes() []WireType {
 	types := make([]WireType, 0, maxWireTypes)
 	types = append(types, []WireType{
--- a/core/host/write.go
+++ b/core/host/write.go
@@ -12,51 +12,51 @@
 	"github.com/yardhall/yardhall/core/raft"
 )
 
-// A write is sent to the leader, and sent again, until it is answered or its time is over.
-// A route table is sent as a patch of the one in force; one whose number does not exceed a
-// committed one needs no place in the log; one whose patch lost a race is made anew.
+// A write is sent to the leader and resent until it is answered or its deadline passes. A route
+// table is logged as a patch of the current one. A table whose number does not exceed a
+// committed one is not logged, and a patch that lost a race is rebuilt from the newer table.
 
-// resendInterval is the pause before an unanswered write is sent again. Chosen, not measured.
+// resendInterval is the pause before an unanswered write is resent.
 const resendInterval = 500 * time.Millisecond
 
-// pendingWrite is a write that this process waits for.
+// pendingWrite is a write that this process has not yet seen answered.
 type pendingWrite struct {
 	write catalog.Write
-	// logged is the write as it goes into the log, made from the configuration of
-	// version base; packed is the same as it is handed to the leader.
-	logged catalog.Write
-	base   config.Version
-	packed []byte
-	// proposed is the term in which this replica, as leader, wrote it to the log.
-	proposed raft.Term
-	// after is the version that must be held before the write is sent again.
-	after config.Version
-	// inForce is the committed version, of the table or of the drained zones, that answers
-	// the write once it is in force; 0 before.
+	// logEntry is the write as it is logged, made from the configuration of version base.
+	// packed is its encoding for the leader, if it was forwarded.
+	logEntry catalog.Write
+	base     config.Version
+	packed   []byte
+	// proposedTerm is the term in which this replica, as leader, appended the write to the log.
+	proposedTerm raft.Term
+	// waitVersion is the version that this replica must hold before it rebuilds and resends the
+	// write; 0 if it need not wait.
+	waitVersion config.Version
+	// inForce is the committed version, of the table or of the drained zones, that must be in
+	// force before the write is answered; 0 before the commit.
 	inForce  config.Version
 	deadline time.Time
-	resend   time.Time
+	resendAt time.Time
 }
 
-// submit sends a write to the leader until it is answered or its time is over.
+// submit sends a write to the leader until it is answered or its deadline passes.
 func (t *transition) submit(w catalog.Write, deadline time.Time) {
 	t.counters.Writes++
 	t.sendWrite(pendingWrite{write: t.withSeen(w), deadline: deadline})
 }
 
-// overtaken tells whether a write is a route table whose number does not exceed
-// that of a committed one: it is answered and changes nothing, whatever
-// comes later, so it needs no place in the log.
-func (t *transition) overtaken(w catalog.Write) bool {
+// isSuperseded reports whether a write is a valid route table whose number does not exceed that
+// of a committed one. It can never change anything, so it is answered without being logged.
+func (t *transition) isSuperseded(w catalog.Write) bool {
 	edit, _ := w.Command.(catalog.Edit)
 	put, ok := edit.Change.(config.PutRouteTable)
 	return ok && !edit.Guarded && put.Gateway.Number <= t.catalog.Config.Gateway.Number && put.Gateway.Check() == nil
 }
 
-// patched turns a route table into what differs from the one held, which is the
-// one in force in all likelihood. The log, the disks and the links between
-// replicas then carry a small change of a large table as a small entry.
-func (t *transition) patched(w catalog.Write) catalog.Write {
+// asPatch converts a route table into a patch of the one held, so that a small change of a
+// large table stays small in the log, on disk and between replicas. The one held is most likely
+// the one that the patch will be applied to.
+func (t *transition) asPatch(w catalog.Write) catalog.Write {
 	edit, _ := w.Command.(catalog.Edit)
 	put, ok := edit.Change.(config.PutRouteTable)
 	held := t.catalog.Config.Gateway
@@ -69,26 +69,26 @@
 }
 
 func (t *transition) sendWrite(p pendingWrite) {
-	if p.inForce > 0 || t.overtaken(p.write) {
+	if p.inForce > 0 || t.isSuperseded(p.write) {
 		t.awaitInForce(p)
 		return
 	}
-	p.resend = t.now.Add(resendInterval)
-	if p.logged.Command == nil || p.base != t.catalog.Config.Version {
-		p.logged, p.packed, p.base = t.patched(p.write), nil, t.catalog.Config.Version
+	p.resendAt = t.now.Add(resendInterval)
+	if p.logEntry.Command == nil || p.base != t.catalog.Config.Version {
+		p.logEntry, p.packed, p.base = t.asPatch(p.write), nil, t.catalog.Config.Version
 	}
 	if t.raft.Role() == raft.Leader {
-		// Once in the log of a term it stays there as long as the term lasts; a
-		// second copy would only add to what holds the first one up.
-		again := p.proposed == t.raft.Term()
+		// An entry stays in the log for the rest of its term. A second copy would only add to
+		// the backlog that delays the first.
+		alreadyProposed := p.proposedTerm == t.raft.Term()
 		t.writes = t.writes.With(p.write.ID, p)
-		if !again && t.propose(p.logged) {
+		if !alreadyProposed && t.propose(p.logEntry) {
 			t.markProposed(p.write.ID)
 		}
 		return
 	}
 	if p.packed == nil {
-		p.packed = p.logged.Encode()
+		p.packed = p.logEntry.Encode()
 	}
 	t.writes = t.writes.With(p.write.ID, p)
 	if leader := t.leaderHint(); leader != "" && leader != t.settings.ID {
@@ -96,21 +96,21 @@
 	}
 }
 
-// baseMoved sends a patch again that was made from a table no longer in force,
-// once the one that is has come to this replica.
-func (t *transition) baseMoved(p pendingWrite, inForce config.Version) {
-	p.proposed, p.after = 0, inForce
+// rebaseWrite resends a write whose patch was made from an outdated table, once this replica
+// holds the version that is in force.
+func (t *transition) rebaseWrite(p pendingWrite, version config.Version) {
+	p.proposedTerm, p.waitVersion = 0, version
 	t.writes = t.writes.With(p.write.ID, p)
-	t.sendMoved()
+	t.sendRebasedWrites()
 }
 
-// sendMoved sends the writes again whose base has come.
-func (t *transition) sendMoved() {
+// sendRebasedWrites rebuilds and resends the writes whose base version has arrived.
+func (t *transition) sendRebasedWrites() {
 	for _, p := range t.writes.All() {
-		if p.after == 0 || t.catalog.Config.Version < p.after {
+		if p.waitVersion == 0 || t.catalog.Config.Version < p.waitVersion {
 			continue
 		}
-		p.after = 0
+		p.waitVersion = 0
 		t.sendWrite(p)
 	}
 }
@@ -120,36 +120,36 @@
 		switch {
 		case !t.now.Before(p.deadline):
 			t.writes = t.writes.Without(id)
-			t.writeDone(id, catalog.Result{}, false)
-		case !t.now.Before(p.resend):
+			t.completeWrite(id, catalog.Result{}, false)
+		case !t.now.Before(p.resendAt):
 			t.sendWrite(p)
 		}
 	}
 }
 
-// markProposed notes that a write that still waits stands in the log.
+// markProposed records that a pending write is in the log of this term.
 func (t *transition) markProposed(id string) {
 	if p, ok := t.writes.Get(id); ok {
-		p.proposed = t.raft.Term()
+		p.proposedTerm = t.raft.Term()
 		t.writes = t.writes.With(id, p)
 	}
 }
 
-// propose tells whether the write now stands in this leader's log.
+// propose appends a write to the log and reports whether it did.
 func (t *transition) propose(w catalog.Write) bool {
-	w.At = t.timeOfDay()
+	w.At = t.wallClock()
 	before := t.raft.Log().Last()
 	t.stepRaft(raft.Propose{Data: w.Encode()})
 	return t.raft.Log().Last() > before
 }
 
-// forwardWrite takes a write from another host; only a leader acts on it, and
-// a write that has an answer already gets it when it is applied again.
-func (t *transition) forwardWrite(from ident.Host, m ForwardWrite) {
+// handleForwardWrite logs a write from another host if this one leads. A write that was answered
+// before gets the same answer when it is applied again.
+func (t *transition) handleForwardWrite(from ident.Host, m ForwardWrite) {
 	if t.raft.Role() != raft.Leader {
 		return
 	}
-	if have, ok := t.origins.Get(m.ID); ok && have == from {
+	if origin, ok := t.origins.Get(m.ID); ok && origin == from {
 		return
 	}
 	w, err := catalog.DecodeWrite(m.Packed)
@@ -163,7 +163,7 @@
 	}
 }
 
-func (t *transition) writeAnswered(id string, r catalog.Result) {
+func (t *transition) handleWriteAnswered(id string, r catalog.Result) {
 	p, ok := t.writes.Get(id)
 	if !ok {
 		return
@@ -172,22 +172,23 @@
 		return
 	}
 	if r.Code == catalog.BaseMoved {
-		t.baseMoved(p, r.Version)
+		t.rebaseWrite(p, r.Version)
 		return
 	}
 	t.writes = t.writes.Without(id)
-	t.writeDone(id, r, true)
+	t.completeWrite(id, r, true)
 }
 
-// writeDone hands the answer to whom the write was for.
-func (t *transition) writeDone(id string, r catalog.Result, known bool) {
+// completeWrite passes the result of a write to its origin. known is false if the write timed
+// out.
+func (t *transition) completeWrite(id string, result catalog.Result, known bool) {
 	if request, ok := strings.CutPrefix(id, "claim/"); ok {
-		t.claimAnswered(ident.Request(request), r, known)
+		t.claimAnswered(ident.Request(request), result, known)
 		return
 	}
 	if strings.HasPrefix(id, "end/") || strings.HasPrefix(id, "auto/") {
-		t.autoDone(id, r, known)
+		t.autoDone(id, result, known)
 		return
 	}
-	t.emit(AnswerWrite{ID: id, Result: r, Known: known})
+	t.emit(AnswerWrite{ID: id, Result: result, Known: known})
 }
--- a/core/host/zones.go
+++ b/core/host/zones.go
@@ -110,13 +110,13 @@
 // noteReplicaProgram notes whether a replica's program knows of zones.
 func (t *transition) noteReplicaProgram(m Raft) {
 	if !m.KnowsZones {
-		t.seeded.earlierReplicaAt = t.now
+		t.seeded.earlierReplicaSeenAt = t.now
 	}
 }
 
 // allReplicasKnowZones tells whether every replica that sends anything knows of zones.
 func (t *transition) allReplicasKnowZones() bool {
-	return t.now.Sub(t.seeded.earlierReplicaAt) > earlierReplicaLifetime
+	return t.now.Sub(t.seeded.earlierReplicaSeenAt) > earlierReplicaLifetime
 }
 
 // changesZone tells whether a write is an order for a zone.
--- a/core/host/zones_test.go
+++ b/core/host/zones_test.go
@@ -42,7 +42,7 @@
 // sentTo is the zone of the worker to which an entry host sends a request, which is answered
 // at once; empty where it sends it to none.
 func (f *seededFleet) sentTo(at ident.Host) ident.Zone {
-	d, ok := f.ask(at, "/x/1", "k").(requests.Dispatch)
+	d, ok := f.sendRequest(at, "/x/1", "k").(requests.Dispatch)
 	if !ok {
 		return ""
 	}
@@ -56,7 +56,7 @@
 func startDraining(t *testing.T, entries int) *seededFleet {
 	f := newSeededFleet(t, 3, entries)
 	f.run(8 * time.Second)
-	require.True(t, f.put(f.leader(), f.table(1, "k"), time.Second))
+	require.True(t, f.putTable(f.leader(), f.table(1, "k"), time.Second))
 	f.beatIn(replicaName(0), "w", "hall-a", 1)
 	f.beatIn(replicaName(1), "ww", "hall-b", 1)
 	f.run(2 * time.Second)
@@ -70,7 +70,7 @@
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
 			f := startDraining(t, entries)
 			for _, drained := range []bool{true, false} {
-				took := f.runUntilAcked(t, f.orderZone(f.follower(), "hall-b", drained), 5*time.Second)
+				took := f.runUntilAcked(t, f.orderZone(f.anyFollower(), "hall-b", drained), 5*time.Second)
 				t.Logf("drained=%t after %s", drained, took)
 				require.Less(t, took, time.Second)
 				for i := range entries {
@@ -116,7 +116,7 @@
 func (o *orderedZones) look(t *testing.T, entries int) {
 	t.Helper()
 	for zone, id := range o.pending {
-		if o.f.acked(id) {
+		if o.f.isAcknowledged(id) {
 			delete(o.pending, zone)
 			o.acks++
 			if at := o.drainedAt[zone]; o.drained[zone] && at.IsZero() {
@@ -151,11 +151,11 @@
 			f := startDraining(t, entries)
 			f.run(3 * time.Second)
 			if seed%2 == 1 {
-				f.older = map[ident.Host]bool{entryName(0): true, entryName(3): true}
+				f.earlierHosts = map[ident.Host]bool{entryName(0): true, entryName(3): true}
 			}
 			o, number, seq := newOrderedZones(f), uint64(1), uint64(1)
 			slow := map[ident.Host]time.Duration{}
-			f.hold = func(p seededPacket) time.Duration { return slow[p.from] + slow[p.to] }
+			f.delay = func(p seededPacket) time.Duration { return slow[p.from] + slow[p.to] }
 			for step := range 240 {
 				f.drawFault(r, entries, slow, leaderFaults{cut: seed%3 == 0, stop: seed%3 == 1})
 				if step%12 == 0 {
@@ -169,7 +169,7 @@
 					o.give(replicaName(r.IntN(3)), zone, r.IntN(3) > 0)
 				case 2:
 					number++
-					f.submit(replicaName(r.IntN(3)), f.table(number, "k"))
+					f.submitTable(replicaName(r.IntN(3)), f.table(number, "k"))
 				}
 				f.run(100 * time.Millisecond)
 				o.look(t, entries)
@@ -200,8 +200,8 @@
 	f.addReplica(leader, false)
 	f.run(6 * time.Second)
 	requireDrained("its disk was lost")
-	require.True(t, f.put(f.leader(), f.table(2, "k"), time.Second))
-	require.True(t, f.put(f.leader(), f.table(2, "k"), time.Second), "sent again")
+	require.True(t, f.putTable(f.leader(), f.table(2, "k"), time.Second))
+	require.True(t, f.putTable(f.leader(), f.table(2, "k"), time.Second), "sent again")
 	requireDrained("the route table changed")
 	for _, id := range f.order {
 		f.stop(id)
@@ -215,7 +215,7 @@
 	f.beatIn(replicaName(1), "ww", "hall-b", 5)
 	f.run(2 * time.Second)
 	requireDrained("all power was lost")
-	f.runUntilAcked(t, f.orderZone(f.follower(), "hall-b", false), time.Second)
+	f.runUntilAcked(t, f.orderZone(f.anyFollower(), "hall-b", false), time.Second)
 	f.run(time.Second)
 	served := map[ident.Zone]bool{}
 	for range 20 {
@@ -228,7 +228,7 @@
 // live on: it sends there only while its lease holds.
 func TestCutOffHostStopsByItsLease(t *testing.T) {
 	f := startDraining(t, 3)
-	f.silence(entryName(0))
+	f.dropMessagesTo(entryName(0))
 	took := f.runUntilAcked(t, f.orderZone(f.leader(), "hall-b", true), 5*time.Second)
 	require.LessOrEqual(t, took, time.Second, "a host that is lost keeps no operator waiting")
 	f.run(zoneDrained)
@@ -246,9 +246,9 @@
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
 			f := startDraining(t, entries)
 			f.run(4 * time.Second)
-			f.older = map[ident.Host]bool{}
+			f.earlierHosts = map[ident.Host]bool{}
 			for i := 0; i < entries; i += 2 {
-				f.older[entryName(i)] = true
+				f.earlierHosts[entryName(i)] = true
 			}
 			f.run(2 * time.Second)
 			seq := uint64(1)
@@ -273,12 +273,12 @@
 // order has no answer until it is replaced.
 func TestNoOrderIsAcknowledgedBesideAnEarlierReplica(t *testing.T) {
 	f := startDraining(t, 3)
-	f.older = map[ident.Host]bool{f.follower(): true}
+	f.earlierHosts = map[ident.Host]bool{f.anyFollower(): true}
 	f.run(time.Second)
 	id := f.orderZone(f.leader(), "hall-b", true)
 	f.run(6 * time.Second)
-	require.False(t, f.acked(id))
-	f.older = nil
+	require.False(t, f.isAcknowledged(id))
+	f.earlierHosts = nil
 	f.runUntilAcked(t, id, 6*time.Second)
 }
 
@@ -291,7 +291,7 @@
 			sent[f.sentTo(entryName(i))] = true
 		}
 		require.True(t, sent["hall-a"], "entry %d", i)
-		require.Equal(t, !drained, sent["hall-b"], "entry %d, earlier program %t", i, f.older[entryName(i)])
+		require.Equal(t, !drained, sent["hall-b"], "entry %d, earlier program %t", i, f.earlierHosts[entryName(i)])
 	}
 }
 
@@ -322,7 +322,7 @@
 			r := rand.New(rand.NewPCG(seed, 7))
 			f := startDraining(t, 2)
 			slow := map[ident.Host]time.Duration{}
-			f.hold = func(p seededPacket) time.Duration { return slow[p.from] + slow[p.to] }
+			f.delay = func(p seededPacket) time.Duration { return slow[p.from] + slow[p.to] }
 			var history []porcupine.Operation
 			open := map[string]int{}
 			at := func() int64 { return f.now.UnixNano() }
@@ -339,9 +339,9 @@
 					clear(slow)
 				case 2:
 					if leader := f.leader(); leader != "" && r.IntN(4) == 0 {
-						f.cutOff(leader, true)
+						f.partition(leader, true)
 						f.run(1500 * time.Millisecond)
-						f.cutOff(leader, false)
+						f.partition(leader, false)
 					}
 				}
 				f.run(time.Duration(1+r.IntN(4)) * seededStep)
