--- a/callers/answers.go
+++ b/callers/answers.go
@@ -15,17 +15,17 @@
 	maxKeptOne = 64 << 10
 )
 
-// Answers keeps the newest answers of requests that must not run twice, so that
+// ResponseCache keeps the newest answers of requests that must not run twice, so that
 // a resend gets the answer instead of a second run. The zero value is empty.
-type Answers struct {
+type ResponseCache struct {
 	mu    sync.Mutex
 	kept  map[ident.Request]host.Answer
 	order []ident.Request
 	bytes int
 }
 
-// Keep stores an answer; the oldest ones make room.
-func (k *Answers) Keep(id ident.Request, a host.Answer) {
+// Add stores an answer; the oldest ones make room.
+func (k *ResponseCache) Add(id ident.Request, a host.Answer) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.kept == nil {
@@ -42,7 +42,7 @@
 }
 
 // Get returns a kept answer, or nil.
-func (k *Answers) Get(id ident.Request) *host.Answer {
+func (k *ResponseCache) Get(id ident.Request) *host.Answer {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if a, ok := k.kept[id]; ok {
--- a/callers/api.go
+++ b/callers/api.go
@@ -31,27 +31,27 @@
 
 // Headers of the callers' API.
 const (
-	HeaderOutcome  = "X-Yardhall-Outcome"
-	HeaderRequest  = "X-Request-Id"
-	HeaderClass    = "X-Yardhall-Class"
-	HeaderDeadline = "X-Yardhall-Deadline"
-	HeaderOnce     = "X-Yardhall-Not-Repeatable"
-	HeaderChat     = "X-Yardhall-Chat"
-	HeaderTarget   = "X-Yardhall-Target"
+	HeaderOutcome       = "X-Yardhall-Outcome"
+	HeaderRequestID     = "X-Request-Id"
+	HeaderClass         = "X-Yardhall-Class"
+	HeaderDeadline      = "X-Yardhall-Deadline"
+	HeaderNotRepeatable = "X-Yardhall-Not-Repeatable"
+	HeaderChatID        = "X-Yardhall-Chat"
+	HeaderTarget        = "X-Yardhall-Target"
 	// HeaderReplayed is true on the answer of an earlier request under the
 	// same key.
-	HeaderReplayed   = "X-Yardhall-Replayed"
-	HeaderKey        = "Idempotency-Key"
-	HeaderKeyCreated = "Idempotency-Key-Created"
+	HeaderReplayed              = "X-Yardhall-Replayed"
+	HeaderIdempotencyKey        = "Idempotency-Key"
+	HeaderIdempotencyKeyCreated = "Idempotency-Key-Created"
 )
 
 // Core decides; it is the process's event loop.
 type Core interface {
-	// Begin hands a request to the core. The channel yields host.Dispatch and
+	// Submit hands a request to the core. The channel yields host.Dispatch and
 	// last host.Finish.
-	Begin(r host.Request) <-chan host.Effect
-	// Ended reports the end of an attempt.
-	Ended(ev host.AttemptEnded)
+	Submit(r host.Request) <-chan host.Effect
+	// ReportAttempt reports the end of an attempt.
+	ReportAttempt(ev host.AttemptEnded)
 	// Config is the configuration in force.
 	Config() config.Config
 	// Ready tells whether new requests should come here.
@@ -65,11 +65,11 @@
 
 // Options bound what callers may do.
 type Options struct {
-	MaxBody    int64
-	WriteStall time.Duration
-	MaxStream  time.Duration
-	// Incarnation and ID make request ids unique.
-	ID          ident.Host
+	MaxBody      int64
+	WriteTimeout time.Duration
+	MaxDuration  time.Duration
+	// Incarnation and Host make request ids unique.
+	Host        ident.Host
 	Incarnation uint64
 }
 
@@ -78,8 +78,8 @@
 	Core    Core
 	Targets Doer
 	Options Options
-	// Answers keeps answers for resends; nil keeps none.
-	Answers *Answers
+	// Responses keeps answers for resends; nil keeps none.
+	Responses *ResponseCache
 	// Observe, where set, is told of each finished request.
 	Observe func(Observation)
 	Now     func() time.Time
@@ -87,12 +87,12 @@
 
 // Observation is what is measured of one request.
 type Observation struct {
-	Outcome      outcome.Kind
-	Took         time.Duration
-	FirstByte    time.Duration
-	CachedTokens int
-	PromptTokens int
-	Target       ident.Target
+	Outcome         outcome.Kind
+	Duration        time.Duration
+	TimeToFirstByte time.Duration
+	CachedTokens    int
+	PromptTokens    int
+	Target          ident.Target
 }
 
 // API is the callers' port.
--- a/callers/errors.go
+++ b/callers/errors.go
@@ -97,7 +97,7 @@
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(HeaderOutcome, string(v.Outcome))
-	h.Set(HeaderRequest, string(id))
+	h.Set(HeaderRequestID, string(id))
 	if v.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(v.RetryAfter.Seconds()))))
 		h.Set("Retry-After-Ms", strconv.FormatInt(v.RetryAfter.Milliseconds(), 10))
@@ -123,7 +123,7 @@
 
 func (a *API) newID() ident.Request {
 	o := a.deps.Options
-	return ident.Request(string(o.ID) + "-" + strconv.FormatUint(o.Incarnation, idBase) + "-" +
+	return ident.Request(string(o.Host) + "-" + strconv.FormatUint(o.Incarnation, idBase) + "-" +
 		strconv.FormatUint(a.seq.Add(1), idBase))
 }
 
@@ -131,7 +131,7 @@
 
 // clampDeadline bounds a caller's deadline.
 func (a *API) clampDeadline(d time.Duration) time.Duration {
-	if limit := a.deps.Options.MaxStream; limit > 0 && (d <= 0 || d > limit) {
+	if limit := a.deps.Options.MaxDuration; limit > 0 && (d <= 0 || d > limit) {
 		return limit
 	}
 	return d
--- a/callers/read.go
+++ b/callers/read.go
@@ -29,8 +29,8 @@
 	MaxTokens int64
 	// Chat identifies the chat: the caller's id, else its opening.
 	Chat hash.Key
-	// Work is the estimate of tokens to prefill and decode.
-	Work int64
+	// EstimatedTokens is the estimate of tokens to prefill and decode.
+	EstimatedTokens int64
 }
 
 type promptBody struct {
@@ -73,7 +73,7 @@
 	if p.MaxTokens <= 0 {
 		p.MaxTokens = defaultMaxTokens
 	}
-	p.Work = int64(len(body))/bytesPerToken + p.MaxTokens
+	p.EstimatedTokens = int64(len(body))/bytesPerToken + p.MaxTokens
 	p.Chat = chatKey(b, account, chat)
 	return p, nil
 }
@@ -135,7 +135,7 @@
 	h := c.Request().Header
 	r := host.Request{
 		ID: a.newID(), KeyHash: keys.Hash(keys.Bearer(h.Get("Authorization"))),
-		Class: ident.Class(h.Get(HeaderClass)), IdempotencyKey: h.Get(HeaderKey),
+		Class: ident.Class(h.Get(HeaderClass)), IdempotencyKey: h.Get(HeaderIdempotencyKey),
 		Path: strings.TrimPrefix(c.Request().URL.Path, "/services/"+c.Param("service")),
 	}
 	limit, verdict := a.readDeadline(h)
@@ -143,10 +143,10 @@
 		return r, verdict
 	}
 	r.Deadline = a.deps.Now().Add(limit)
-	if text := h.Get(HeaderOnce); text != "" {
+	if text := h.Get(HeaderNotRepeatable); text != "" {
 		once, err := strconv.ParseBool(text)
 		if err != nil {
-			return r, bad(HeaderOnce + " must be true or false")
+			return r, bad(HeaderNotRepeatable + " must be true or false")
 		}
 		r.Once = once
 	}
@@ -174,12 +174,12 @@
 // not be told from a new request.
 func readKeyTime(h http.Header, r *host.Request) *host.Verdict {
 	if len(r.IdempotencyKey) > maxKeyLen {
-		return bad(HeaderKey + " is too long")
+		return bad(HeaderIdempotencyKey + " is too long")
 	}
-	if text := h.Get(HeaderKeyCreated); text != "" {
+	if text := h.Get(HeaderIdempotencyKeyCreated); text != "" {
 		seconds, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || seconds <= 0 {
-			return bad(HeaderKeyCreated + " must be a Unix time in seconds")
+			return bad(HeaderIdempotencyKeyCreated + " must be a Unix time in seconds")
 		}
 		r.KeyCreated = time.Unix(seconds, 0)
 		// The time is part of the key, so that it cannot be moved by a resend.
--- a/callers/serve.go
+++ b/callers/serve.go
@@ -25,11 +25,11 @@
 	if verdict != nil {
 		return writeVerdict(c.Response(), r.ID, *verdict)
 	}
-	p, err := ParsePrompt(body, r.KeyHash, c.Request().Header.Get(HeaderChat))
+	p, err := ParsePrompt(body, r.KeyHash, c.Request().Header.Get(HeaderChatID))
 	if err != nil {
 		return writeVerdict(c.Response(), r.ID, *bad(err.Error()))
 	}
-	r.Model, r.Chat, r.Work, r.Path = ident.Model(p.Model), p.Chat, p.Work, c.Request().URL.Path
+	r.Model, r.Chat, r.Work, r.Path = ident.Model(p.Model), p.Chat, p.EstimatedTokens, c.Request().URL.Path
 	return a.run(c, r, targets.Exchange{
 		Request: r.ID, Method: http.MethodPost, Path: c.Request().URL.Path, Body: body, Streamed: p.Stream,
 		Header: http.Header{"Content-Type": {"application/json"}},
@@ -57,7 +57,7 @@
 // account, and those by which net/http would take a request as safe to repeat.
 var kept = []string{
 	"Authorization", "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
-	"Transfer-Encoding", "Upgrade", "Content-Length", "Accept-Encoding", "X-Idempotency-Key", HeaderKey, HeaderKeyCreated,
+	"Transfer-Encoding", "Upgrade", "Content-Length", "Accept-Encoding", "X-Idempotency-Key", HeaderIdempotencyKey, HeaderIdempotencyKeyCreated,
 }
 
 func forwarded(in http.Header) http.Header {
@@ -78,7 +78,7 @@
 	if !r.Once || r.IdempotencyKey == "" || !r.KeyCreated.IsZero() {
 		return a.follow(c, r, x, begun)
 	}
-	return writeVerdict(c.Response(), r.ID, *bad("the key of a request that must not run twice needs a time: use a UUID of version 7 or " + HeaderKeyCreated))
+	return writeVerdict(c.Response(), r.ID, *bad("the key of a request that must not run twice needs a time: use a UUID of version 7 or " + HeaderIdempotencyKeyCreated))
 }
 
 func (a *API) follow(c echo.Context, r host.Request, x targets.Exchange, begun time.Time) error {
@@ -86,8 +86,8 @@
 	defer cancel()
 	s := &sink{w: c.Response(), api: a, id: r.ID, streamed: x.Streamed, begun: begun}
 	x.Sink = s
-	s.keep = r.IdempotencyKey != "" && a.deps.Answers != nil
-	effects := a.deps.Core.Begin(r)
+	s.keep = r.IdempotencyKey != "" && a.deps.Responses != nil
+	effects := a.deps.Core.Submit(r)
 	var last outcome.Attempt
 	for {
 		select {
@@ -96,16 +96,16 @@
 			case host.Dispatch:
 				s.target = e.Target.ID
 				last = a.attempt(ctx, x, e)
-				a.deps.Core.Ended(host.AttemptEnded{Request: r.ID, Attempt: e.Attempt, Result: last})
+				a.deps.Core.ReportAttempt(host.AttemptEnded{Request: r.ID, Attempt: e.Attempt, Result: last})
 			case host.Finish:
 				if s.keep && s.started && e.Verdict.Outcome == outcome.Ran {
-					a.deps.Answers.Keep(r.ID, s.copy)
+					a.deps.Responses.Add(r.ID, s.copy)
 				}
 				a.observe(e.Verdict, last, s, begun)
 				return s.finish(e.Verdict)
 			}
 		case <-c.Request().Context().Done():
-			a.deps.Core.Ended(host.AttemptEnded{Request: r.ID, Result: outcome.Abandoned{}})
+			a.deps.Core.ReportAttempt(host.AttemptEnded{Request: r.ID, Result: outcome.Abandoned{}})
 			return a.drain(effects, s, begun)
 		}
 	}
@@ -124,7 +124,7 @@
 
 func (a *API) attempt(ctx context.Context, x targets.Exchange, d host.Dispatch) outcome.Attempt {
 	x.Target = targets.Endpoint{ID: d.Target.ID, Address: d.Target.Address}
-	x.Once = d.Once
+	x.FreshConnection = d.Once
 	x.Header = x.Header.Clone()
 	x.Header.Set(targets.HeaderPriority, strconv.Itoa(d.Rank))
 	result := a.deps.Targets.Do(ctx, x)
@@ -135,7 +135,7 @@
 }
 
 func (a *API) observe(v host.Verdict, last outcome.Attempt, s *sink, begun time.Time) {
-	o := Observation{Outcome: v.Outcome, Took: a.deps.Now().Sub(begun), FirstByte: s.first, Target: s.target}
+	o := Observation{Outcome: v.Outcome, Duration: a.deps.Now().Sub(begun), TimeToFirstByte: s.first, Target: s.target}
 	if answered, ok := last.(outcome.Answered); ok {
 		o.CachedTokens, o.PromptTokens = answered.CachedTokens, answered.PromptTokens
 	}
--- a/callers/sink.go
+++ b/callers/sink.go
@@ -37,7 +37,7 @@
 	for name, values := range passed(header) {
 		h[name] = slices.Clone(values)
 	}
-	h.Set(HeaderRequest, string(s.id))
+	h.Set(HeaderRequestID, string(s.id))
 	h.Set(HeaderTarget, string(s.target))
 	if s.streamed && status == http.StatusOK {
 		// How a stream ends is known only then: it stands in the trailer.
@@ -56,7 +56,7 @@
 // cut.
 func (s *sink) Write(p []byte) error {
 	control := http.NewResponseController(s.w.Writer)
-	if stall := s.api.deps.Options.WriteStall; stall > 0 {
+	if stall := s.api.deps.Options.WriteTimeout; stall > 0 {
 		_ = control.SetWriteDeadline(time.Now().Add(stall))
 	}
 	s.remember(p)
@@ -80,7 +80,7 @@
 	h := s.w.Header()
 	h.Set("Content-Type", a.ContentType)
 	h.Set(HeaderOutcome, string(outcome.Ran))
-	h.Set(HeaderRequest, string(s.id))
+	h.Set(HeaderRequestID, string(s.id))
 	h.Set(HeaderReplayed, "true")
 	s.w.WriteHeader(a.Status)
 	_, err := s.w.Write(a.Body)
--- a/daemon/calls.go
+++ b/daemon/calls.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// Begin implements callers.Core.
-func (l *loop) Begin(r host.Request) <-chan host.Effect {
+// Submit implements callers.Core.
+func (l *loop) Submit(r host.Request) <-chan host.Effect {
 	ch := make(chan host.Effect, callEvents)
 	l.mu.Lock()
 	l.calls[r.ID] = ch
@@ -34,8 +34,8 @@
 	return ch
 }
 
-// Ended implements callers.Core.
-func (l *loop) Ended(ev host.AttemptEnded) { l.post(ev) }
+// ReportAttempt implements callers.Core.
+func (l *loop) ReportAttempt(ev host.AttemptEnded) { l.post(ev) }
 
 // Config implements callers.Core.
 func (l *loop) Config() config.Config { return l.state.Load().Config() }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -78,11 +78,11 @@
 	if err != nil {
 		return nil, err
 	}
-	popts.First = d.goesFirst
+	popts.SkipHandshakeLimit = d.goesFirst
 	d.pool = peers.NewPool(popts)
-	d.pool.Know(append(s.Replicas.Hosts(), s.Neighbors.Hosts()...))
+	d.pool.SetAddresses(append(s.Replicas.Hosts(), s.Neighbors.Hosts()...))
 	d.targets = targets.NewClient(targets.Options{
-		DialTimeout: s.Targets.DialTimeout, ProbeTimeout: s.Targets.ProbeTimeout, StreamStall: s.Targets.StreamStall,
+		DialTimeout: s.Targets.DialTimeout, ProbeTimeout: s.Targets.ProbeTimeout, StallTimeout: s.Targets.StreamStall,
 		From: from, Blocked: o.BlockedAddress,
 	})
 	hs := hostSettings(s, o, incarnation)
@@ -153,7 +153,7 @@
 	s := d.settings
 	o := peers.Options{
 		Self: s.ID(), Fleet: s.Host.Fleet, Key: s.Peer.Key, MaxMessage: settings.Bytes(s.Peer.MaxSize),
-		Counters: d.counters, Boot: boot, Boots: &peers.Boots{}, From: from, Blocked: d.options.BlockedHost,
+		Counters: d.counters, Boot: boot, PeerBoots: &peers.BootTracker{}, From: from, Blocked: d.options.BlockedHost,
 	}
 	if s.Peer.Cert == "" {
 		return o, nil
--- a/daemon/effects.go
+++ b/daemon/effects.go
@@ -34,7 +34,7 @@
 	case host.LookUp:
 		l.lookUp(e)
 	case host.KnowHosts:
-		l.pool.Know(e.Hosts)
+		l.pool.SetAddresses(e.Hosts)
 	case host.AnswerRead:
 		l.answerRead(e)
 	}
@@ -52,12 +52,12 @@
 }
 
 func (l *loop) probe(ctx context.Context, t config.Target) {
-	load, err := l.targets.Load(ctx, t.Address)
+	load, err := l.targets.FetchLoad(ctx, t.Address)
 	if ctx.Err() != nil {
 		return
 	}
 	l.post(host.Reported{
-		Target: t.ID, Failed: err != nil, Refused: targets.IsRefused(err), Boot: load.Boot, Seq: load.Seq, InFlight: load.InFlight, Leaving: load.Leaving,
+		Target: t.ID, Failed: err != nil, Refused: targets.IsConnRefused(err), Boot: load.Boot, Seq: load.Seq, InFlight: load.InFlight, Leaving: load.Leaving,
 	})
 }
 
@@ -67,7 +67,7 @@
 func (l *loop) order(ctx context.Context, e host.SendOrder) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	err := l.targets.Order(ctx, targets.FencedOrder{
+	err := l.targets.SendOrder(ctx, targets.FencedOrder{
 		Address: e.Order.Target.Address, NotAfter: e.Order.NotAfter, ReadFirst: e.ReadFirst,
 		Body: targets.OrderBody{Token: e.Order.Token, Action: e.Order.Action, Model: e.Order.Model},
 	}, l.now)
--- a/daemon/forms_test.go
+++ b/daemon/forms_test.go
@@ -93,10 +93,10 @@
 func fullObservation() gateway.Observation {
 	chosen := func(reflect.Type) any { return outcome.Broken{} }
 	o := formtest.Filled(reflect.TypeFor[gateway.Observation](), chosen, "Cold").Interface().(gateway.Observation)
-	for _, d := range []*time.Duration{&o.Took, &o.Waited, &o.First, &o.Pause, &o.Verdict.RetryAfter} {
+	for _, d := range []*time.Duration{&o.Duration, &o.StartupWait, &o.TimeToFirstByte, &o.MaxEventGap, &o.Verdict.RetryAfter} {
 		*d = time.Second
 	}
-	o.Tries = append(o.Tries, o.Tries[0])
+	o.Attempts = append(o.Attempts, o.Attempts[0])
 	return o
 }
 
@@ -107,7 +107,7 @@
 	lines := newRequestLog(l.logger())
 	lines.observe(fullObservation())
 	o := fullObservation()
-	o.Tries = nil
+	o.Attempts = nil
 	lines.observe(o)
 	newNoteLog(l.logger()).observe(host.Note{Kind: host.NoteWorker, Object: "w", Detail: "d"})
 	requireGolden(t, "lines.golden", l.lines)
--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -50,7 +50,7 @@
 	}
 	d.workers = gateway.NewPool(from)
 	d.gateway = gateway.NewServer(gateway.Deps{Core: d.loop, Pool: d.workers, Headers: platform.Headers(), Observe: d.observeRequest()})
-	d.loop.breakOff = d.gateway.BreakOff
+	d.loop.breakOff = d.gateway.AbortAttempt
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+platform.ReadyPath, d.readiness)
 	for _, port := range []struct {
@@ -88,7 +88,7 @@
 }
 
 func listenGateway(address string) (net.Listener, error) {
-	l, err := (&net.ListenConfig{Control: sockets.Control(gateway.UserTimeout)}).Listen(context.Background(), "tcp", address)
+	l, err := (&net.ListenConfig{Control: sockets.Control(gateway.TCPUserTimeout)}).Listen(context.Background(), "tcp", address)
 	return l, errors.Wrap(err, "listen")
 }
 
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -43,7 +43,7 @@
 	crashes *crashKeeper
 	done    chan struct{}
 	reduced *expvar.Int
-	answers *callers.Answers
+	answers *callers.ResponseCache
 	delays  *delays
 	pace    pace
 
@@ -69,7 +69,7 @@
 		reads:    map[string]chan bool{},
 		breakOff: func(requests.BreakOff) {},
 		waits:    map[ident.Request]chan requests.Decision{},
-		reduced:  new(expvar.Int), answers: &callers.Answers{}, delays: newDelays(log), pace: newPace(),
+		reduced:  new(expvar.Int), answers: &callers.ResponseCache{}, delays: newDelays(log), pace: newPace(),
 	}
 	l.state.Store(&s)
 	return l
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -122,9 +122,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	// clampMicros keeps values within the histogram's range, the only error there is.
-	_ = m.took.RecordValue(clampMicros(o.Took))
-	if o.FirstByte > 0 {
-		_ = m.first.RecordValue(clampMicros(o.FirstByte))
+	_ = m.took.RecordValue(clampMicros(o.Duration))
+	if o.TimeToFirstByte > 0 {
+		_ = m.first.RecordValue(clampMicros(o.TimeToFirstByte))
 	}
 }
 
@@ -133,9 +133,9 @@
 	m.verdicts.Add(string(o.Verdict.Outcome)+"/"+string(o.Verdict.Code), 1)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	_ = m.took.RecordValue(clampMicros(o.Took))
-	if o.First > 0 {
-		_ = m.first.RecordValue(clampMicros(o.First))
+	_ = m.took.RecordValue(clampMicros(o.Duration))
+	if o.TimeToFirstByte > 0 {
+		_ = m.first.RecordValue(clampMicros(o.TimeToFirstByte))
 	}
 }
 
--- a/daemon/requestlog.go
+++ b/daemon/requestlog.go
@@ -39,7 +39,7 @@
 
 func (l *requestLog) observe(o gateway.Observation) {
 	budget := &l.odd
-	if len(o.Tries) == 1 && o.Verdict.Code == requests.CodeOK {
+	if len(o.Attempts) == 1 && o.Verdict.Code == requests.CodeOK {
 		budget = &l.plain
 	}
 	ok, skipped := budget.Allow(l.now())
@@ -49,8 +49,8 @@
 	if !ok {
 		return
 	}
-	last := len(o.Tries) - 1
-	for i, try := range o.Tries {
+	last := len(o.Attempts) - 1
+	for i, try := range o.Attempts {
 		if i < last {
 			l.log.Info("try", tryFields(o, try)...)
 		}
@@ -61,26 +61,26 @@
 // requestFields are how a request ended, and the decision for its last worker, if it had
 // any.
 func requestFields(o gateway.Observation) []any {
-	fields := []any{"outcome", string(o.Verdict.Outcome), "code", string(o.Verdict.Code), "took_ms", millis(o.Took)}
+	fields := []any{"outcome", string(o.Verdict.Outcome), "code", string(o.Verdict.Code), "took_ms", millis(o.Duration)}
 	if o.Verdict.Reason != "" {
 		fields = append(fields, "reason", o.Verdict.Reason)
 	}
 	if o.Verdict.RetryAfter > 0 {
 		fields = append(fields, "retry_after_ms", millis(o.Verdict.RetryAfter))
 	}
-	if o.Waited > 0 {
-		fields = append(fields, "waited_ms", millis(o.Waited))
+	if o.StartupWait > 0 {
+		fields = append(fields, "waited_ms", millis(o.StartupWait))
 	}
-	if o.First > 0 {
-		fields = append(fields, "first_ms", millis(o.First))
+	if o.TimeToFirstByte > 0 {
+		fields = append(fields, "first_ms", millis(o.TimeToFirstByte))
 	}
-	if o.Pause > 0 {
-		fields = append(fields, "pause_ms", millis(o.Pause))
+	if o.MaxEventGap > 0 {
+		fields = append(fields, "pause_ms", millis(o.MaxEventGap))
 	}
-	if last := len(o.Tries) - 1; last >= 0 {
-		route := o.Tries[last].Dispatch.Route
+	if last := len(o.Attempts) - 1; last >= 0 {
+		route := o.Attempts[last].Dispatch.Route
 		fields = append(fields, "objective_ms", millis(time.Duration(route.Objective)), "max_pause_ms", millis(time.Duration(route.MaxPause)))
-		fields = append(fields, tryFields(o, o.Tries[last])...)
+		fields = append(fields, tryFields(o, o.Attempts[last])...)
 	} else {
 		fields = append(fields, "request", string(o.Request.ID), "route", o.Request.Host+o.Request.Path,
 			"table", o.Inputs.Number, "table_age_ms", millis(o.Inputs.ConfigAge))
@@ -90,14 +90,14 @@
 
 // tryFields are the decision for a worker, what it was made from, and what came
 // of it.
-func tryFields(o gateway.Observation, try gateway.Try) []any {
+func tryFields(o gateway.Observation, try gateway.Attempt) []any {
 	d, in := try.Dispatch, try.Dispatch.Inputs
 	fields := []any{
 		"request", string(o.Request.ID), "route", d.Route.Name, "account", string(d.Account), "content", d.Content.String(), "try", d.Attempt,
 		"worker", string(d.Worker.ID), "at", d.Worker.Address, "worker_seq", d.Worker.Seq, "worker_born", d.Worker.Born.String(),
 		"load", in.Load, "load_age_ms", millis(in.LoadAge), "mean", fmt.Sprintf("%.1f", in.Mean),
 		"kind", string(in.Kind), "choice", in.Choice, "of", in.Candidates, "table", in.Number, "table_age_ms", millis(in.ConfigAge),
-		"result", resultText(try.Result), "try_ms", millis(try.Took),
+		"result", resultText(try.Result), "try_ms", millis(try.Duration),
 	}
 	if in.LastResort {
 		fields = append(fields, "last_resort", true)
--- a/demo/load.go
+++ b/demo/load.go
@@ -262,7 +262,7 @@
 		return
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
-	req.Header.Set(callers.HeaderKey, marker)
+	req.Header.Set(callers.HeaderIdempotencyKey, marker)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return
--- a/failures/failures_test.go
+++ b/failures/failures_test.go
@@ -179,7 +179,7 @@
 		wg.Go(func() {
 			time.Sleep(time.Duration(i) * 15 * time.Millisecond)
 			for again := range 3 {
-				replies[i] = append(replies[i], f.call((i+again)%len(f.Hosts), "/services/floor/once/wave", markers[i], callers.HeaderKey, markers[i]))
+				replies[i] = append(replies[i], f.call((i+again)%len(f.Hosts), "/services/floor/once/wave", markers[i], callers.HeaderIdempotencyKey, markers[i]))
 			}
 		})
 	}
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -14,11 +14,11 @@
 // finish answers the caller.
 func (c *serverCall) finish(v requests.Verdict) {
 	c.observed.Verdict = v
-	c.observed.Took = c.server.now().Sub(c.begun)
+	c.observed.Duration = c.server.now().Sub(c.begun)
 	if !c.relay.first.IsZero() {
-		c.observed.First = c.relay.first.Sub(c.begun)
+		c.observed.TimeToFirstByte = c.relay.first.Sub(c.begun)
 	}
-	c.observed.Pause = c.relay.pause
+	c.observed.MaxEventGap = c.relay.pause
 	c.server.observe(c.observed)
 	switch {
 	case v.Code == requests.CodeOK && c.answer != nil:
--- a/gateway/breakoff.go
+++ b/gateway/breakoff.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// BreakOff ends an attempt whose worker has ended. It does not wait.
-func (s *Server) BreakOff(b requests.BreakOff) {
+// AbortAttempt ends an attempt whose worker has ended. It does not wait.
+func (s *Server) AbortAttempt(b requests.BreakOff) {
 	s.running.mu.Lock()
 	defer s.running.mu.Unlock()
 	x := s.running.exchanges[b.Request]
--- a/gateway/breakoff_test.go
+++ b/gateway/breakoff_test.go
@@ -25,7 +25,7 @@
 		w.Born++
 		for _, d := range b.core.Decide(requests.Registered{Workers: []registry.Worker{w}}) {
 			if off, ok := d.(requests.BreakOff); ok {
-				b.server.BreakOff(off)
+				b.server.AbortAttempt(off)
 			}
 		}
 	}()
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -32,7 +32,7 @@
 		switch d := next.(type) {
 		case requests.Wait:
 			next = c.server.core.Await(c.request.Context(), d.Request)
-			c.observed.Waited = c.server.now().Sub(c.begun)
+			c.observed.StartupWait = c.server.now().Sub(c.begun)
 		case requests.Pause:
 			pauseFor(c.request.Context(), d.For)
 			next = c.server.nextDecision(requests.PauseEnded{Request: d.Request, Wanted: c.request.Context().Err() == nil})
@@ -68,7 +68,7 @@
 	if late {
 		result = outcome.Broken{Reason: "no whole answer before the deadline", Begun: c.relay.begun}
 	}
-	c.observed.Tries = append(c.observed.Tries, Try{Dispatch: d, Result: result, Took: c.server.now().Sub(started)})
+	c.observed.Attempts = append(c.observed.Attempts, Attempt{Dispatch: d, Result: result, Duration: c.server.now().Sub(started)})
 	if late {
 		return requests.Expired{Request: d.Request}
 	}
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -25,16 +25,16 @@
 	DeadlineMs string
 	// Model, Tokens (IN,OUT) and Parts (ID:TOKENS, joined by commas) describe a
 	// prompt.
-	Model  string
-	Tokens string
-	Parts  string
-	// LastEvent is the id of the last event of a stream that is gone on with.
-	LastEvent string
+	Model       string
+	Tokens      string
+	PromptParts string
+	// LastEventID is the id of the last event of a stream that is gone on with.
+	LastEventID string
 	// Account tells a worker for whom it works.
 	Account string
-	// Expect names the worker that is meant; Instance the one that answers.
-	Expect   string
-	Instance string
+	// ExpectedWorker names the worker that is meant; Instance the one that answers.
+	ExpectedWorker string
+	WorkerID       string
 	// CacheFrom tells an engine the address of another that may keep the prefix.
 	CacheFrom string
 	// Rank is the priority told to engines; 0 goes first.
@@ -56,8 +56,8 @@
 func DefaultHeaders() Headers {
 	return Headers{
 		RequestID: "Yardhall-Request-Id", DeadlineMs: "Yardhall-Timeout-Ms", Model: "Yardhall-Model",
-		Tokens: "Yardhall-Tokens", Parts: "Yardhall-Prompt-Parts", LastEvent: "Last-Event-Id",
-		Account: "Yardhall-Account", Expect: "Yardhall-Expect-Worker", Instance: "Yardhall-Worker",
+		Tokens: "Yardhall-Tokens", PromptParts: "Yardhall-Prompt-Parts", LastEventID: "Last-Event-Id",
+		Account: "Yardhall-Account", ExpectedWorker: "Yardhall-Expect-Worker", WorkerID: "Yardhall-Worker",
 		CacheFrom: "Yardhall-Cache-From", Rank: "Yardhall-Rank", Load: "Yardhall-Load", NotRun: "Yardhall-Not-Run", Leaving: "Yardhall-Leaving", Signature: "Yardhall-Signature",
 		Reserved: []string{"Yardhall-Reservation", "Yardhall-Keep-Cache", "Yardhall-Copy-To", "Yardhall-Copy-From", "Yardhall-Expect-Weights"},
 	}
@@ -66,18 +66,18 @@
 // ofHosts are the headers that a worker may only get from a host: what a caller says
 // under these names is dropped, and what a worker repeats is kept from callers.
 func (h Headers) ofHosts() []string {
-	return append([]string{h.DeadlineMs, h.Account, h.Expect, h.CacheFrom, h.Rank}, h.Reserved...)
+	return append([]string{h.DeadlineMs, h.Account, h.ExpectedWorker, h.CacheFrom, h.Rank}, h.Reserved...)
 }
 
 // ofCaller are the headers that say what the caller asks for. They belong to the
 // request, so that no Connection header takes them away.
 func (h Headers) ofCaller() []string {
-	return []string{h.RequestID, h.Model, h.Tokens, h.Parts, h.LastEvent}
+	return []string{h.RequestID, h.Model, h.Tokens, h.PromptParts, h.LastEventID}
 }
 
 // ofWorkers are the headers by which workers tell hosts, and not callers, about
 // themselves.
-func (h Headers) ofWorkers() []string { return []string{h.Instance, h.Load, h.NotRun} }
+func (h Headers) ofWorkers() []string { return []string{h.WorkerID, h.Load, h.NotRun} }
 
 // connectionHeaders pertain to one connection and are never passed on.
 var connectionHeaders = []string{
@@ -121,7 +121,7 @@
 func (h Headers) request(r *http.Request, now time.Time) requests.Request {
 	out := requests.Request{
 		ID: ident.Request(r.Header.Get(h.RequestID)), Host: r.Host, Path: r.URL.Path,
-		Resumed: r.Header.Get(h.LastEvent) != "",
+		Resumed: r.Header.Get(h.LastEventID) != "",
 	}
 	if key := keys.Bearer(r.Header.Get("Authorization")); key != "" {
 		out.KeyHash = keys.Hash(key)
@@ -131,7 +131,7 @@
 	}
 	out.Prompt.Model = ident.Model(r.Header.Get(h.Model))
 	out.Prompt.TokensIn, out.Prompt.TokensOut = pair(r.Header.Get(h.Tokens))
-	for part := range strings.SplitSeq(r.Header.Get(h.Parts), ",") {
+	for part := range strings.SplitSeq(r.Header.Get(h.PromptParts), ",") {
 		id, tokens, ok := strings.Cut(strings.TrimSpace(part), ":")
 		if n, err := strconv.Atoi(tokens); ok && err == nil {
 			out.Prompt.Parts = append(out.Prompt.Parts, requests.Part{ID: id, Tokens: n})
@@ -183,7 +183,7 @@
 		out.Set(h.Account, string(d.Account))
 	}
 	out.Set(h.DeadlineMs, strconv.FormatInt(max(1, left.Milliseconds()), 10))
-	out.Set(h.Expect, string(d.Worker.ID))
+	out.Set(h.ExpectedWorker, string(d.Worker.ID))
 	if d.CacheFrom != "" {
 		out.Set(h.CacheFrom, d.CacheFrom)
 	}
@@ -191,7 +191,7 @@
 		out.Set(h.Rank, strconv.Itoa(min(max(d.Rank, 0), lowestRank)))
 	}
 	if lastEvent != "" {
-		out.Set(h.LastEvent, lastEvent)
+		out.Set(h.LastEventID, lastEvent)
 	}
 	return out
 }
--- a/gateway/headers_test.go
+++ b/gateway/headers_test.go
@@ -45,7 +45,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		h := rapid.SampledFrom(allHeaders()).Draw(t, "headers")
 		lines := make([]string, 0, 16)
-		lines = append(lines, h.RequestID+": id-1", h.Model+": m", h.Tokens+": 10,20", h.Parts+": a:1,b:2", "X-Own: kept")
+		lines = append(lines, h.RequestID+": id-1", h.Model+": m", h.Tokens+": 10,20", h.PromptParts+": a:1,b:2", "X-Own: kept")
 		for _, name := range rapid.SliceOf(rapid.SampledFrom(h.ofHosts())).Draw(t, "names") {
 			lines = append(lines, spelled(t, name)+": forged")
 		}
@@ -58,7 +58,7 @@
 		for name, values := range out {
 			require.NotContains(t, values, "forged", name)
 		}
-		for name, want := range map[string]string{h.RequestID: "id-1", h.Model: "m", h.Tokens: "10,20", h.Parts: "a:1,b:2", "X-Own": "kept", h.DeadlineMs: "1000", h.Expect: "w"} {
+		for name, want := range map[string]string{h.RequestID: "id-1", h.Model: "m", h.Tokens: "10,20", h.PromptParts: "a:1,b:2", "X-Own": "kept", h.DeadlineMs: "1000", h.ExpectedWorker: "w"} {
 			require.Equal(t, []string{want}, out.Values(name), name)
 		}
 	})
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -21,9 +21,9 @@
 const (
 	// connectTimeout bounds a new connection to a worker. Chosen, not measured.
 	connectTimeout = 400 * time.Millisecond
-	// UserTimeout ends a connection whose bytes are not acknowledged (RFC 5482). Chosen,
+	// TCPUserTimeout ends a connection whose bytes are not acknowledged (RFC 5482). Chosen,
 	// not measured.
-	UserTimeout = 2 * time.Second
+	TCPUserTimeout = 2 * time.Second
 	// assumedIdle is how long a worker keeps an idle connection where it does not say.
 	// Chosen, not measured.
 	assumedIdle = 2 * time.Second
@@ -161,7 +161,7 @@
 }
 
 func (p *Pool) dial(ctx context.Context, w registry.Worker) (*workerConn, error) {
-	d := &net.Dialer{Timeout: connectTimeout, Control: sockets.Control(UserTimeout), KeepAliveConfig: sockets.KeepAlive()}
+	d := &net.Dialer{Timeout: connectTimeout, Control: sockets.Control(TCPUserTimeout), KeepAliveConfig: sockets.KeepAlive()}
 	if p.from != nil {
 		d.LocalAddr = p.from
 	}
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -57,22 +57,22 @@
 	Request requests.Request
 	Verdict requests.Verdict
 	Inputs  requests.Inputs
-	// Tries lists the workers called and what came of it.
-	Tries []Try
-	Took  time.Duration
-	// Waited is how long the request waited for this host to start.
-	Waited time.Duration
-	// First is the time to the first byte of the answer; 0 for none.
-	First time.Duration
-	// Pause is the longest pause between events of a stream.
-	Pause time.Duration
+	// Attempts lists the workers called and what came of it.
+	Attempts []Attempt
+	Duration time.Duration
+	// StartupWait is how long the request waited for this host to start.
+	StartupWait time.Duration
+	// TimeToFirstByte is the time to the first byte of the answer; 0 for none.
+	TimeToFirstByte time.Duration
+	// MaxEventGap is the longest pause between events of a stream.
+	MaxEventGap time.Duration
 }
 
-// Try is one try at a worker.
-type Try struct {
+// Attempt is one try at a worker.
+type Attempt struct {
 	Dispatch requests.Dispatch
 	Result   outcome.Attempt
-	Took     time.Duration
+	Duration time.Duration
 }
 
 // Server is an http.Handler for the requests of callers.
@@ -120,7 +120,7 @@
 		http.Error(w, http.StatusText(status), status)
 		return
 	}
-	c := &serverCall{server: s, writer: w, request: r, body: body, begun: begun, relay: relay{w: w, now: s.now, headers: s.headers, lastID: r.Header.Get(s.headers.LastEvent)}}
+	c := &serverCall{server: s, writer: w, request: r, body: body, begun: begun, relay: relay{w: w, now: s.now, headers: s.headers, lastID: r.Header.Get(s.headers.LastEventID)}}
 	req.Digest = digest(r, body)
 	c.observed.Request = req
 	c.run(req)
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -32,8 +32,8 @@
 
 func workerNames() standin.WorkerHeaders {
 	return standin.WorkerHeaders{
-		RequestID: names.RequestID, Expect: names.Expect, Instance: names.Instance, NotRun: names.NotRun,
-		Leaving: names.Leaving, Signature: names.Signature, Load: names.Load, LastEvent: names.LastEvent,
+		RequestID: names.RequestID, Expect: names.ExpectedWorker, Instance: names.WorkerID, NotRun: names.NotRun,
+		Leaving: names.Leaving, Signature: names.Signature, Load: names.Load, LastEvent: names.LastEventID,
 	}
 }
 
@@ -173,7 +173,7 @@
 	require.Equal(t, http.MethodPost, run.Method)
 	require.Equal(t, "kept", run.Header.Get("X-Own"))
 	require.Equal(t, "halls", run.Header.Get(names.Account))
-	require.Equal(t, "w0", run.Header.Get(names.Expect))
+	require.Equal(t, "w0", run.Header.Get(names.ExpectedWorker))
 	require.Empty(t, run.Header.Get("Authorization"), "the key stays here")
 	require.Equal(t, "stamp-of-w0", resp.Header.Get(names.Signature))
 }
--- a/peers/boots.go
+++ b/peers/boots.go
@@ -8,16 +8,16 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// Boots are the newest starts of other hosts' processes, as these told when they
+// BootTracker are the newest starts of other hosts' processes, as these told when they
 // called. A connection to an earlier start leads nowhere: a host that lost its power
 // does not close it. The zero value knows none.
-type Boots struct {
+type BootTracker struct {
 	mu     sync.Mutex
 	byHost map[ident.Host]uint64
 }
 
 // heard takes the start of a host's process.
-func (b *Boots) heard(from ident.Host, boot uint64) {
+func (b *BootTracker) heard(from ident.Host, boot uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.byHost == nil {
@@ -30,7 +30,7 @@
 
 // answered takes the start of the process that has just answered a call, whatever was
 // heard before: the clock that starts are told by may have been set back.
-func (b *Boots) answered(of ident.Host, boot uint64) {
+func (b *BootTracker) answered(of ident.Host, boot uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.byHost == nil {
@@ -41,7 +41,7 @@
 
 // isOver tells whether a host has told of a later start than the given one; 0 is one
 // that is not known.
-func (b *Boots) isOver(of ident.Host, boot uint64) bool {
+func (b *BootTracker) isOver(of ident.Host, boot uint64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return boot != 0 && boot < b.byHost[of]
--- a/peers/first_test.go
+++ b/peers/first_test.go
@@ -20,8 +20,8 @@
 func TestReplicasDoNotWaitBehindOtherHosts(t *testing.T) {
 	replica := netip.MustParseAddr("127.0.0.2")
 	o := options("b")
-	o.First = func(ip netip.Addr) bool { return ip == replica }
-	o.HandshakeTime = time.Hour
+	o.SkipHandshakeLimit = func(ip netip.Addr) bool { return ip == replica }
+	o.HandshakeSlotTimeout = time.Hour
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	heard := make(chan ident.Host, 1024)
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -52,7 +52,7 @@
 func send(address string, o peers.Options, m host.Message, taken *atomic.Int32) int {
 	p := peers.NewPool(o)
 	defer p.Close()
-	p.Know([]config.Host{{ID: "b", Address: address}})
+	p.SetAddresses([]config.Host{{ID: "b", Address: address}})
 	for range 15 {
 		p.Send("b", m)
 		time.Sleep(20 * time.Millisecond)
@@ -65,7 +65,7 @@
 	t.Helper()
 	p := peers.NewPool(o)
 	defer p.Close()
-	p.Know([]config.Host{{ID: "b", Address: address}})
+	p.SetAddresses([]config.Host{{ID: "b", Address: address}})
 	before := taken.Load()
 	require.Eventually(t, func() bool {
 		p.Send("b", m)
@@ -212,7 +212,7 @@
 	o := options("a")
 	p := peers.NewPool(o)
 	defer p.Close()
-	p.Know([]config.Host{{ID: "b", Address: l.Addr().String()}})
+	p.SetAddresses([]config.Host{{ID: "b", Address: l.Addr().String()}})
 	p.Send("b", beat)
 	require.Eventually(t, func() bool { return len(silent) == 0 }, 30*time.Second, time.Millisecond)
 	time.Sleep(1500 * time.Millisecond)
--- a/peers/pool.go
+++ b/peers/pool.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// Know sets where hosts listen.
-func (p *Pool) Know(hosts []config.Host) {
+// SetAddresses sets where hosts listen.
+func (p *Pool) SetAddresses(hosts []config.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, h := range hosts {
--- a/peers/restart_test.go
+++ b/peers/restart_test.go
@@ -54,7 +54,7 @@
 	address := first.listener.Addr().String()
 	p := peers.NewPool(options("a"))
 	defer p.Close()
-	p.Know([]config.Host{{ID: "b", Address: address}})
+	p.SetAddresses([]config.Host{{ID: "b", Address: address}})
 	p.Send("b", beat)
 	first.awaitsOne(t)
 	first.end()
@@ -71,10 +71,10 @@
 	first := startProcess(t, "127.0.0.1:0", 1)
 	address := first.listener.Addr().String()
 	o := options("a")
-	o.Boots = &peers.Boots{}
+	o.PeerBoots = &peers.BootTracker{}
 	p := peers.NewPool(o)
 	defer p.Close()
-	p.Know([]config.Host{{ID: "b", Address: address}})
+	p.SetAddresses([]config.Host{{ID: "b", Address: address}})
 	p.Send("b", beat)
 	first.awaitsOne(t)
 	require.NoError(t, first.listener.Close())
@@ -95,7 +95,7 @@
 // is kept, not opened anew for each message.
 func TestClockSetBackKeepsItsConnection(t *testing.T) {
 	o := options("a")
-	o.Boots = &peers.Boots{}
+	o.PeerBoots = &peers.BootTracker{}
 	own, _ := serve(t, o)
 	conn, err := rpc.Dial("tcp", own)
 	require.NoError(t, err)
@@ -105,7 +105,7 @@
 	second := startProcess(t, "127.0.0.1:0", 2)
 	p := peers.NewPool(o)
 	defer p.Close()
-	p.Know([]config.Host{{ID: "b", Address: second.listener.Addr().String()}})
+	p.SetAddresses([]config.Host{{ID: "b", Address: second.listener.Addr().String()}})
 	for n := int32(1); n <= 5; n++ {
 		p.Send("b", beat)
 		require.Eventually(t, func() bool { return second.taken.Load() >= n }, 30*time.Second, time.Millisecond)
--- a/peers/sender.go
+++ b/peers/sender.go
@@ -176,14 +176,14 @@
 	s.calls = make(chan *rpc.Call, maxCalls)
 	o.Counters.Connected.Add(1)
 	o.Counters.Dialed.Add(1)
-	o.Boots.answered(s.to, ack.Boot)
+	o.PeerBoots.answered(s.to, ack.Boot)
 	return nil
 }
 
 // isOver tells whether the other end of the connection has closed it or belongs to a
 // process that is gone: what is sent there would be lost.
 func (s *sender) isOver() bool {
-	return s.conn.ended.Load() || s.pool.options.Boots.isOver(s.to, s.boot)
+	return s.conn.ended.Load() || s.pool.options.PeerBoots.isOver(s.to, s.boot)
 }
 
 func (s *sender) dial(addr string) (net.Conn, error) {
--- a/peers/server.go
+++ b/peers/server.go
@@ -9,7 +9,7 @@
 //	srv := peers.NewServer(options, func(from ident.Host, m host.Message) { ... })
 //	go srv.Serve(listener)
 //	pool := peers.NewPool(options)
-//	pool.Know(hosts)
+//	pool.SetAddresses(hosts)
 //	pool.Send("entry-2", message)
 //
 // Each connection opens with a Hello that must name the fleet and its key;
@@ -50,14 +50,14 @@
 	Counters *Counters
 	// Boot is the start of this process; it grows from one to the next. Boots are
 	// those of other hosts, which a server hears and a pool uses.
-	Boot  uint64
-	Boots *Boots
-	// First, where set, tells which addresses need not wait for others when they open
+	Boot      uint64
+	PeerBoots *BootTracker
+	// SkipHandshakeLimit, where set, tells which addresses need not wait for others when they open
 	// connections: on a replica, those of other replicas.
-	First func(netip.Addr) bool
-	// HandshakeTime is how long a connection that is being opened may keep others
+	SkipHandshakeLimit func(netip.Addr) bool
+	// HandshakeSlotTimeout is how long a connection that is being opened may keep others
 	// waiting; 0 is the default.
-	HandshakeTime time.Duration
+	HandshakeSlotTimeout time.Duration
 	// Blocked, where set, tells which hosts must not be reached; tests cut
 	// zones off with it.
 	Blocked func(ident.Host) bool
@@ -102,20 +102,20 @@
 	if o.Counters == nil {
 		o.Counters = &Counters{}
 	}
-	o.HandshakeTime = cmp.Or(o.HandshakeTime, handshakeTime)
-	if o.Boots == nil {
-		o.Boots = &Boots{}
+	o.HandshakeSlotTimeout = cmp.Or(o.HandshakeSlotTimeout, handshakeTime)
+	if o.PeerBoots == nil {
+		o.PeerBoots = &BootTracker{}
 	}
 	return o
 }
 
 // enter waits for a pass to open a connection with a host, unless that goes first.
 func (o Options) enter(g *gate.Gate, ip netip.Addr, done <-chan struct{}) (pass *gate.Pass, ok bool) {
-	if o.First == nil || o.First(ip) {
+	if o.SkipHandshakeLimit == nil || o.SkipHandshakeLimit(ip) {
 		return nil, true
 	}
 	pass, ok = g.Enter(done)
-	pass.EndAfter(o.HandshakeTime)
+	pass.EndAfter(o.HandshakeSlotTimeout)
 	return pass, ok
 }
 
@@ -205,7 +205,7 @@
 		return
 	}
 	defer pass.Leave()
-	f := &Fleet{server: s, conn: conn, pass: pass}
+	f := &Service{server: s, conn: conn, pass: pass}
 	if err := r.RegisterName(serviceName, f); err != nil {
 		panic(err)
 	}
@@ -216,8 +216,8 @@
 
 const serviceName = "F"
 
-// Fleet is the RPC service of one connection.
-type Fleet struct {
+// Service is the RPC service of one connection.
+type Service struct {
 	server *Server
 	conn   net.Conn
 	known  atomic.Bool
@@ -226,7 +226,7 @@
 }
 
 // Hello checks who calls. Nothing else is answered before.
-func (f *Fleet) Hello(h Hello, a *Ack) error {
+func (f *Service) Hello(h Hello, a *Ack) error {
 	o := f.server.options
 	sameKey := subtle.ConstantTimeCompare([]byte(h.Key), []byte(o.Key)) == 1
 	if h.Fleet != o.Fleet || !sameKey || f.known.Load() {
@@ -236,14 +236,14 @@
 	}
 	f.from = h.From
 	f.known.Store(true)
-	o.Boots.heard(h.From, h.Boot)
+	o.PeerBoots.heard(h.From, h.Boot)
 	a.Taken, a.Boot = 1, o.Boot
 	return nil
 }
 
 // D delivers a batch of messages; the name stands in each call, so it is
 // short.
-func (f *Fleet) D(b Batch, a *Ack) error {
+func (f *Service) D(b Batch, a *Ack) error {
 	if !f.known.Load() {
 		f.server.options.Counters.Refused.Add(1)
 		_ = f.conn.Close()
--- a/site/failure_test.go
+++ b/site/failure_test.go
@@ -111,7 +111,7 @@
 		wg.Go(func() {
 			time.Sleep(time.Duration(i) * 20 * time.Millisecond)
 			for again := range 3 {
-				r := call(s, (i+again)%len(s.Hosts), "/services/floor/once/wave", markers[i], callers.HeaderKey, markers[i])
+				r := call(s, (i+again)%len(s.Hosts), "/services/floor/once/wave", markers[i], callers.HeaderIdempotencyKey, markers[i])
 				mu.Lock()
 				replies[i] = append(replies[i], r)
 				mu.Unlock()
@@ -147,20 +147,20 @@
 func TestResendGetsTheFirstAnswer(t *testing.T) {
 	s := start(t, site.Builder{Net: 31, Replicas: 1})
 	marker := uuid.Must(uuid.NewV7()).String()
-	first := call(s, 5, "/services/floor/once/wave", marker, callers.HeaderKey, marker)
+	first := call(s, 5, "/services/floor/once/wave", marker, callers.HeaderIdempotencyKey, marker)
 	require.Equal(t, "ran", first.outcome)
 	for i := range s.Hosts {
 		var again reply
 		await(t, "the end of the claim is known", func() bool {
-			again = call(s, i, "/services/floor/once/wave", marker, callers.HeaderKey, marker)
+			again = call(s, i, "/services/floor/once/wave", marker, callers.HeaderIdempotencyKey, marker)
 			return again.outcome == "ran"
 		})
 		require.Equal(t, first.body, again.body, "host %d", i)
 		require.Equal(t, http.StatusOK, again.status)
 	}
-	require.Equal(t, "idempotency_key_reused", codeOf(call(s, 0, "/services/floor/once/wave", "another body", callers.HeaderKey, marker)))
+	require.Equal(t, "idempotency_key_reused", codeOf(call(s, 0, "/services/floor/once/wave", "another body", callers.HeaderIdempotencyKey, marker)))
 	s.Hosts[5].Kill()
-	gone := call(s, 0, "/services/floor/once/wave", marker, callers.HeaderKey, marker)
+	gone := call(s, 0, "/services/floor/once/wave", marker, callers.HeaderIdempotencyKey, marker)
 	require.Equal(t, "already_ran", codeOf(gone), gone.body)
 	require.Equal(t, "ran", gone.outcome)
 	require.Equal(t, 1, runsOf(s, marker))
@@ -175,7 +175,7 @@
 	}
 	marker := uuid.Must(uuid.NewV7()).String()
 	for again := range 3 {
-		r := call(s, again%2, "/services/floor/once/alert", marker, callers.HeaderKey, marker)
+		r := call(s, again%2, "/services/floor/once/alert", marker, callers.HeaderIdempotencyKey, marker)
 		require.NoError(t, r.err)
 		require.Equal(t, "unknown", r.outcome, r.body)
 	}
@@ -187,10 +187,10 @@
 	require.Equal(t, 1, runsOf(s, "no key"))
 
 	// A key without a time, and one that is too old, never run.
-	r = call(s, 0, "/services/floor/once/alert", "undated", callers.HeaderKey, "abc")
+	r = call(s, 0, "/services/floor/once/alert", "undated", callers.HeaderIdempotencyKey, "abc")
 	require.Equal(t, http.StatusBadRequest, r.status)
 	old := fmt.Sprint(time.Now().Add(-time.Hour).Unix())
-	r = call(s, 0, "/services/floor/once/alert", "old", callers.HeaderKey, "abc", callers.HeaderKeyCreated, old)
+	r = call(s, 0, "/services/floor/once/alert", "old", callers.HeaderIdempotencyKey, "abc", callers.HeaderIdempotencyKeyCreated, old)
 	require.Equal(t, "unknown", r.outcome)
 	require.Zero(t, runsOf(s, "undated")+runsOf(s, "old"))
 }
@@ -334,7 +334,7 @@
 		require.Equal(t, before, s.Hosts[i].Daemon.State().Config().Version)
 		require.Equal(t, "ran", call(s, i, "/v1/chat/completions", streamBody(fmt.Sprint("cut", i), 3)).outcome, "repeatable calls are served")
 		marker := uuid.Must(uuid.NewV7()).String()
-		r := call(s, i, "/services/floor/once/wave", marker, callers.HeaderKey, marker)
+		r := call(s, i, "/services/floor/once/wave", marker, callers.HeaderIdempotencyKey, marker)
 		require.Equal(t, "claim_unavailable", codeOf(r), r.body)
 		require.Zero(t, runsOf(s, marker), "no claim, no run")
 	}
@@ -549,7 +549,7 @@
 				return
 			}
 			defer func() { _ = resp.Body.Close() }()
-			id := resp.Header.Get(callers.HeaderRequest)
+			id := resp.Header.Get(callers.HeaderRequestID)
 			events := 0
 			for lines := bufio.NewScanner(resp.Body); lines.Scan(); {
 				if strings.Contains(lines.Text(), "chat.completion.chunk") {
--- a/site/latency_test.go
+++ b/site/latency_test.go
@@ -60,7 +60,7 @@
 		post(s.URL(i%len(s.Hosts)) + "/services/floor/slots")
 		record(through, begun)
 		begun = time.Now()
-		post(s.URL(i%len(s.Hosts))+"/services/floor/once/wave", callers.HeaderKey, uuid.Must(uuid.NewV7()).String())
+		post(s.URL(i%len(s.Hosts))+"/services/floor/once/wave", callers.HeaderIdempotencyKey, uuid.Must(uuid.NewV7()).String())
 		record(once, begun)
 	}
 	report(b, "direct", direct)
@@ -125,7 +125,7 @@
 		wg.Go(func() {
 			for i := range work {
 				marker := uuid.Must(uuid.NewV7()).String()
-				if r := call(s, i%len(s.Hosts), "/services/floor/once/wave", marker, callers.HeaderKey, marker); r.outcome != "ran" {
+				if r := call(s, i%len(s.Hosts), "/services/floor/once/wave", marker, callers.HeaderIdempotencyKey, marker); r.outcome != "ran" {
 					b.Errorf("%+v", r)
 				}
 			}
--- a/soak/worker_test.go
+++ b/soak/worker_test.go
@@ -236,8 +236,8 @@
 // ServeHTTP implements http.Handler.
 func (w *soakWorker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	names := platform.Headers()
-	if expect := r.Header.Get(names.Expect); expect != w.id {
-		out.Header().Set(names.Instance, w.id)
+	if expect := r.Header.Get(names.ExpectedWorker); expect != w.id {
+		out.Header().Set(names.WorkerID, w.id)
 		out.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -289,7 +289,7 @@
 
 func (w *soakWorker) stream(out http.ResponseWriter, r *http.Request, id string, fault int) {
 	out.Header().Set("Content-Type", "text/event-stream")
-	first, _ := strconv.Atoi(r.Header.Get(platform.Headers().LastEvent))
+	first, _ := strconv.Atoi(r.Header.Get(platform.Headers().LastEventID))
 	control := http.NewResponseController(out)
 	for n := first + 1; n <= streamEvents; n++ {
 		event := expectedEvent(id, n)
--- a/targets/client.go
+++ b/targets/client.go
@@ -24,10 +24,10 @@
 type Options struct {
 	DialTimeout  time.Duration
 	ProbeTimeout time.Duration
-	// StreamStall is how long a target may send nothing.
-	StreamStall time.Duration
-	// MaxAnswer bounds an answer that is not streamed.
-	MaxAnswer int64
+	// StallTimeout is how long a target may send nothing.
+	StallTimeout time.Duration
+	// MaxResponse bounds an answer that is not streamed.
+	MaxResponse int64
 	// From is the local address to dial from; nil leaves it to the system.
 	From *net.TCPAddr
 	// Blocked, where set, tells which addresses must not be reached; tests
@@ -64,8 +64,8 @@
 func NewClient(o Options) *Client {
 	o.DialTimeout = orDefault(o.DialTimeout, time.Second)
 	o.ProbeTimeout = orDefault(o.ProbeTimeout, 800*time.Millisecond)
-	o.StreamStall = orDefault(o.StreamStall, 30*time.Second)
-	o.MaxAnswer = cmp.Or(o.MaxAnswer, defaultMaxAnswer)
+	o.StallTimeout = orDefault(o.StallTimeout, 30*time.Second)
+	o.MaxResponse = cmp.Or(o.MaxResponse, defaultMaxAnswer)
 	c := &Client{options: o}
 	c.shared = c.transport()
 	c.fresh = c.transport()
@@ -157,15 +157,15 @@
 	}
 	req.Header.Set(HeaderRequestID, string(x.Request))
 	transport := c.shared
-	if x.Once {
+	if x.FreshConnection {
 		transport = c.fresh
 	}
 	resp, err = transport.RoundTrip(req)
 	return resp, had.Load(), errors.Wrap(err, "send")
 }
 
-// Load asks a target for its load report.
-func (c *Client) Load(ctx context.Context, address string) (Load, error) {
+// FetchLoad asks a target for its load report.
+func (c *Client) FetchLoad(ctx context.Context, address string) (Load, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.ProbeTimeout)
 	defer cancel()
 	var l Load
@@ -173,8 +173,8 @@
 	return l, err
 }
 
-// State asks an engine what it holds.
-func (c *Client) State(ctx context.Context, address string) (State, error) {
+// FetchState asks an engine what it holds.
+func (c *Client) FetchState(ctx context.Context, address string) (State, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.ProbeTimeout)
 	defer cancel()
 	var s State
@@ -216,11 +216,11 @@
 	ReadFirst bool
 }
 
-// Order sends a fenced order, unless it has become too old at now, and reads
+// SendOrder sends a fenced order, unless it has become too old at now, and reads
 // the result back from the engine.
-func (c *Client) Order(ctx context.Context, o FencedOrder, now func() time.Time) error {
+func (c *Client) SendOrder(ctx context.Context, o FencedOrder, now func() time.Time) error {
 	if o.ReadFirst {
-		if s, err := c.State(ctx, o.Address); err == nil && fulfilled(s, o.Body) {
+		if s, err := c.FetchState(ctx, o.Address); err == nil && fulfilled(s, o.Body) {
 			return nil
 		}
 	}
@@ -230,7 +230,7 @@
 	if err := c.postOrder(ctx, o); err != nil {
 		return err
 	}
-	s, err := c.State(ctx, o.Address)
+	s, err := c.FetchState(ctx, o.Address)
 	if err != nil {
 		return errors.Wrap(err, "read result back")
 	}
@@ -247,7 +247,7 @@
 	}
 	x := Exchange{
 		Request: "order", Target: Endpoint{Address: o.Address}, Method: http.MethodPost, Path: PathOrders,
-		Header: http.Header{"Content-Type": {"application/json"}}, Body: body, Once: true,
+		Header: http.Header{"Content-Type": {"application/json"}}, Body: body, FreshConnection: true,
 	}
 	resp, _, err := c.send(ctx, x)
 	if err != nil {
--- a/targets/contract.go
+++ b/targets/contract.go
@@ -7,8 +7,8 @@
 //
 //	c := targets.NewClient(targets.Options{})
 //	answer := c.Do(ctx, exchange)        // one attempt of a caller's request
-//	report, err := c.Load(ctx, address)  // an engine's load report
-//	err = c.Order(ctx, order)            // a fenced order
+//	report, err := c.FetchLoad(ctx, address) // an engine's load report
+//	err = c.SendOrder(ctx, order)            // a fenced order
 //
 // A request is sent at most once per call of Do: nothing below it resends.
 package targets
@@ -27,10 +27,10 @@
 	// value is DeclinedLeaving or another reason.
 	HeaderDeclined  = "X-Yardhall-Declined"
 	DeclinedLeaving = "leaving"
-	// HeaderCached and HeaderPrompt are the prompt's tokens, from the cache
+	// HeaderCachedTokens and HeaderPrompt are the prompt's tokens, from the cache
 	// and in all.
-	HeaderCached = "X-Yardhall-Cached-Tokens"
-	HeaderPrompt = "X-Yardhall-Prompt-Tokens"
+	HeaderCachedTokens = "X-Yardhall-Cached-Tokens"
+	HeaderPromptTokens = "X-Yardhall-Prompt-Tokens"
 )
 
 // Paths of the target contract.
--- a/targets/exchange.go
+++ b/targets/exchange.go
@@ -28,8 +28,8 @@
 	Path    string
 	Header  http.Header
 	Body    []byte
-	// Once forbids reused connections.
-	Once bool
+	// FreshConnection forbids reused connections.
+	FreshConnection bool
 	// Streamed is true where the caller asked for server-sent events.
 	Streamed bool
 	// Sink takes the answer.
@@ -52,7 +52,7 @@
 func (c *Client) Do(ctx context.Context, x Exchange) outcome.Attempt {
 	attempt, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stall := time.AfterFunc(c.options.StreamStall, cancel)
+	stall := time.AfterFunc(c.options.StallTimeout, cancel)
 	defer stall.Stop()
 	resp, touched, err := c.send(attempt, x)
 	if err != nil {
@@ -85,14 +85,14 @@
 	case errors.Is(ctx.Err(), context.Canceled) || errors.Is(err, errCaller):
 		return outcome.Abandoned{Sent: touched}
 	case !touched:
-		return outcome.NeverSent{Reason: short(err), Refused: IsRefused(err)}
+		return outcome.NeverSent{Reason: short(err), Refused: IsConnRefused(err)}
 	default:
 		return outcome.Broken{Reason: short(err), Begun: begun}
 	}
 }
 
-// IsRefused tells whether no process listens where a connection was to lead.
-func IsRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// IsConnRefused tells whether no process listens where a connection was to lead.
+func IsConnRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 func short(err error) string {
 	text := errors.Cause(err).Error()
@@ -100,11 +100,11 @@
 }
 
 func (c *Client) whole(ctx context.Context, x Exchange, resp *http.Response) outcome.Attempt {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, c.options.MaxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, c.options.MaxResponse+1))
 	if err != nil {
 		return c.failed(ctx, true, false, err)
 	}
-	if int64(len(body)) > c.options.MaxAnswer {
+	if int64(len(body)) > c.options.MaxResponse {
 		return outcome.Broken{Reason: "the answer is too large"}
 	}
 	if err := x.Sink.Begin(resp.StatusCode, resp.Header); err != nil {
@@ -119,8 +119,8 @@
 func answered(resp *http.Response) outcome.Answered {
 	return outcome.Answered{
 		Status:       resp.StatusCode,
-		CachedTokens: number(resp.Header.Get(HeaderCached)),
-		PromptTokens: number(resp.Header.Get(HeaderPrompt)),
+		CachedTokens: number(resp.Header.Get(HeaderCachedTokens)),
+		PromptTokens: number(resp.Header.Get(HeaderPromptTokens)),
 	}
 }
 
@@ -187,7 +187,7 @@
 		if err != nil {
 			return err
 		}
-		p.stall.Reset(p.client.options.StreamStall)
+		p.stall.Reset(p.client.options.StallTimeout)
 		if !p.begun {
 			if err := p.exchange.Sink.Begin(resp.StatusCode, resp.Header); err != nil {
 				return errCaller
@@ -217,7 +217,7 @@
 // caller has.
 func (p *streamPass) resume(ctx context.Context) (*http.Response, error) {
 	x := p.exchange
-	x.Method, x.Body, x.Once = http.MethodGet, nil, true
+	x.Method, x.Body, x.FreshConnection = http.MethodGet, nil, true
 	x.Path = PathStream + string(x.Request) + "?from=" + strconv.Itoa(p.events)
 	resp, _, err := p.client.send(ctx, x)
 	if err != nil {
@@ -265,7 +265,7 @@
 func (c *Client) cancel(x Exchange) {
 	ctx, done := context.WithTimeout(context.Background(), cancelTimeout)
 	defer done()
-	x.Method, x.Body, x.Once = http.MethodPost, nil, true
+	x.Method, x.Body, x.FreshConnection = http.MethodPost, nil, true
 	x.Path = PathCancel + string(x.Request)
 	if resp, _, err := c.send(ctx, x); err == nil {
 		closeBody(resp)
--- a/targets/targets_test.go
+++ b/targets/targets_test.go
@@ -88,7 +88,7 @@
 func TestOrdersAreFenced(t *testing.T) {
 	c := targets.NewClient(targets.Options{})
 	order := func(e *standin.Engine, token uint64, action string, age time.Duration) error {
-		return c.Order(context.Background(), targets.FencedOrder{
+		return c.SendOrder(context.Background(), targets.FencedOrder{
 			Address: e.Address(), NotAfter: time.Now().Add(-age), ReadFirst: true,
 			Body: targets.OrderBody{Token: token, Action: action, Model: "m2"},
 		}, time.Now)
