--- a/callers/errors.go
+++ b/callers/errors.go
@@ -44,23 +44,23 @@
 
 func statusOf(code host.Code) int {
 	switch code {
-	case host.CodeBadKey:
+	case host.CodeInvalidAPIKey:
 		return http.StatusUnauthorized
-	case host.CodeBadClass:
+	case host.CodeClassNotAllowed:
 		return http.StatusForbidden
-	case host.CodeNoModel, host.CodeNoService, codeNoRoute:
+	case host.CodeModelNotFound, host.CodeServiceNotFound, codeNoRoute:
 		return http.StatusNotFound
-	case host.CodeLimit:
+	case host.CodeLimitExceeded:
 		return http.StatusTooManyRequests
-	case host.CodeAlreadyRan, host.CodeRunning, host.CodeKeyReused:
+	case host.CodeAlreadyRan, host.CodeAlreadyRunning, host.CodeKeyReused:
 		return http.StatusConflict
 	case host.CodeKeyExpired, host.CodeKeyInvalid, codeBadRequest:
 		return http.StatusBadRequest
 	case codeTooLarge:
 		return http.StatusRequestEntityTooLarge
-	case host.CodeDeadline:
+	case host.CodeDeadlineExceeded:
 		return http.StatusGatewayTimeout
-	case host.CodeBroken:
+	case host.CodeTargetFailed:
 		return http.StatusBadGateway
 	case codeInternal:
 		return http.StatusInternalServerError
--- a/callers/read.go
+++ b/callers/read.go
@@ -148,7 +148,7 @@
 		if err != nil {
 			return r, bad(HeaderOnce + " must be true or false")
 		}
-		r.Once = once
+		r.AtMostOnce = once
 	}
 	r.Digest = xxhash.Sum64String(c.Request().Method + " " + c.Request().RequestURI + "\n" + string(body))
 	return r, readKeyTime(h, &r)
@@ -203,5 +203,5 @@
 	if _, ok := a.deps.Core.Config().AccountByKey(hash); ok {
 		return nil
 	}
-	return &host.Verdict{Outcome: outcome.NotRun, Code: host.CodeBadKey, Reason: "the API key is not known"}
+	return &host.Verdict{Outcome: outcome.NotRun, Code: host.CodeInvalidAPIKey, Reason: "the API key is not known"}
 }
--- a/callers/serve.go
+++ b/callers/serve.go
@@ -75,7 +75,7 @@
 // says.
 func (a *API) run(c echo.Context, r host.Request, x targets.Exchange) error {
 	begun := a.deps.Now()
-	if !r.Once || r.IdempotencyKey == "" || !r.KeyCreated.IsZero() {
+	if !r.AtMostOnce || r.IdempotencyKey == "" || !r.KeyCreated.IsZero() {
 		return a.follow(c, r, x, begun)
 	}
 	return writeVerdict(c.Response(), r.ID, *bad("the key of a request that must not run twice needs a time: use a UUID of version 7 or " + HeaderKeyCreated))
@@ -124,7 +124,7 @@
 
 func (a *API) attempt(ctx context.Context, x targets.Exchange, d host.Dispatch) outcome.Attempt {
 	x.Target = targets.Endpoint{ID: d.Target.ID, Address: d.Target.Address}
-	x.Once = d.Once
+	x.Once = d.AtMostOnce
 	x.Header = x.Header.Clone()
 	x.Header.Set(targets.HeaderPriority, strconv.Itoa(d.Rank))
 	result := a.deps.Targets.Do(ctx, x)
@@ -181,7 +181,7 @@
 	m, ok := a.deps.Core.Config().Models.Get(ident.Model(c.Param("model")))
 	if !ok {
 		return writeVerdict(c.Response(), a.newID(), host.Verdict{
-			Outcome: outcome.NotRun, Code: host.CodeNoModel, Reason: "the model does not exist",
+			Outcome: outcome.NotRun, Code: host.CodeModelNotFound, Reason: "the model does not exist",
 		})
 	}
 	return c.JSON(http.StatusOK, modelInfo{ID: m.ID, Object: "model", OwnedBy: m.Service})
--- a/core/host/admit.go
+++ b/core/host/admit.go
@@ -35,7 +35,7 @@
 	}
 	account, ok := t.config.AccountByKey(c.req.KeyHash)
 	if !ok {
-		return refusal(CodeBadKey, "the API key is not known"), false
+		return refusal(CodeInvalidAPIKey, "the API key is not known"), false
 	}
 	c.account = account
 	if v, ok := t.admitService(c); !ok {
@@ -51,19 +51,19 @@
 	if c.req.Model != "" {
 		m, ok := t.config.Models.Get(c.req.Model)
 		if !ok {
-			return refusal(CodeNoModel, "the model "+string(c.req.Model)+" does not exist"), false
+			return refusal(CodeModelNotFound, "the model "+string(c.req.Model)+" does not exist"), false
 		}
 		c.req.Service = m.Service
 	}
 	s, ok := t.config.Services.Get(c.req.Service)
 	if !ok || (c.req.Model == "" && s.Kind != config.KindPlain) {
-		return refusal(CodeNoService, "the service "+string(c.req.Service)+" does not exist"), false
+		return refusal(CodeServiceNotFound, "the service "+string(c.req.Service)+" does not exist"), false
 	}
 	c.service = s
 	if s.Timeout > 0 {
 		c.req.Deadline = earlier(c.req.Deadline, t.now.Add(time.Duration(s.Timeout)))
 	}
-	c.req.Once = c.req.Once || s.NotRepeatable || slices.ContainsFunc(s.OnceRoutes, func(prefix string) bool {
+	c.req.AtMostOnce = c.req.AtMostOnce || s.NotRepeatable || slices.ContainsFunc(s.OnceRoutes, func(prefix string) bool {
 		return strings.HasPrefix(c.req.Path, prefix)
 	})
 	if share := t.config.Share(s.ID, t.settings.Zone); share < percent {
@@ -93,7 +93,7 @@
 	}
 	class, ok := t.config.Classes.Get(id)
 	if !ok || !slices.Contains(allowed, id) {
-		return refusal(CodeBadClass, "the account may not use class "+string(id)), false
+		return refusal(CodeClassNotAllowed, "the account may not use class "+string(id)), false
 	}
 	c.class = class
 	return Verdict{}, true
@@ -108,7 +108,7 @@
 	use, _ := t.accounts.Get(a.ID)
 	if a.MaxInFlight > 0 && use.inFlight >= a.MaxInFlight {
 		return Verdict{
-			Outcome: outcome.NotRun, Code: CodeLimit, RetryAfter: retryAfter,
+			Outcome: outcome.NotRun, Code: CodeLimitExceeded, RetryAfter: retryAfter,
 			Reason: "the account has too many requests in flight",
 		}, false
 	}
@@ -120,7 +120,7 @@
 	if use.tokens < 1 {
 		wait := time.Duration((1 - use.tokens) / rate * float64(time.Second))
 		return Verdict{
-			Outcome: outcome.NotRun, Code: CodeLimit, RetryAfter: wait,
+			Outcome: outcome.NotRun, Code: CodeLimitExceeded, RetryAfter: wait,
 			Reason: "the account sends faster than its limit",
 		}, false
 	}
--- a/core/host/backoff_test.go
+++ b/core/host/backoff_test.go
@@ -88,7 +88,7 @@
 		config.PutTarget{Target: config.Target{ID: "e2", Service: "chat", Zone: "z0", Address: "127.0.0.1:12", Slots: 8, Models: []ident.Model{"m"}}},
 	)
 	ask := func(id ident.Request) (host.Dispatch, bool) {
-		r.feed(host.Arrived{Request: host.Request{ID: id, KeyHash: keyOf("a"), Model: "m", Work: 100, Deadline: r.now.Add(time.Minute)}})
+		r.feed(host.RequestArrived{Request: host.Request{ID: id, KeyHash: keyOf("a"), Model: "m", Work: 100, Deadline: r.now.Add(time.Minute)}})
 		return effect[host.Dispatch](r)
 	}
 	first, ok := ask("r1")
--- a/core/host/bench_test.go
+++ b/core/host/bench_test.go
@@ -26,7 +26,7 @@
 			for b.Loop() {
 				i++
 				id := ident.Request(fmt.Sprintf("r%d", i))
-				s, _ = host.Reduce(s, host.Arrived{Request: host.Request{
+				s, _ = host.Reduce(s, host.RequestArrived{Request: host.Request{
 					ID: id, KeyHash: keyOf("account-1"), Model: model, Chat: hash.Of(fmt.Sprint(i % 1000)), Deadline: at.Add(time.Minute),
 				}}, at)
 				s, _ = host.Reduce(s, host.AttemptEnded{Request: id, Attempt: 1, Result: outcome.Answered{}}, at)
--- a/core/host/call.go
+++ b/core/host/call.go
@@ -103,7 +103,7 @@
 	}
 	t.addAccountInFlight(c.account.ID, 1)
 	t.keepCall(c)
-	if c.req.Once && c.req.IdempotencyKey != "" {
+	if c.req.AtMostOnce && c.req.IdempotencyKey != "" {
 		t.claim(c)
 		return
 	}
@@ -165,7 +165,7 @@
 func (t *transition) dispatch(c call, id ident.Target) {
 	target, ok := t.config.Targets.Get(id)
 	if !ok || !t.now.Before(c.req.Deadline) {
-		t.finish(c, Verdict{Outcome: c.combined, Code: CodeDeadline, Reason: "the deadline passed before a target was found"})
+		t.finish(c, Verdict{Outcome: c.combined, Code: CodeDeadlineExceeded, Reason: "the deadline passed before a target was found"})
 		return
 	}
 	if t.isRefused(c) {
@@ -182,7 +182,7 @@
 	t.keepCall(c)
 	t.emit(Dispatch{
 		Request: c.req.ID, Attempt: c.attempt, Target: target,
-		Once: c.req.Once, Rank: c.class.Rank, Deadline: c.req.Deadline,
+		AtMostOnce: c.req.AtMostOnce, Rank: c.class.Rank, Deadline: c.req.Deadline,
 	})
 }
 
@@ -208,11 +208,11 @@
 		t.finish(c, c.denied)
 	case expired:
 		t.finish(c, Verdict{
-			Outcome: c.combined, Code: CodeDeadline, RetryAfter: retryAfter, Reason: "no place was free before the deadline",
+			Outcome: c.combined, Code: CodeDeadlineExceeded, RetryAfter: retryAfter, Reason: "no place was free before the deadline",
 		})
 	case c.phase == phaseAsking:
 		// In case the request still arrives at the owner.
-		t.note(NoteFallback, c.group.String(), string(c.owner))
+		t.note(LogOwnerUnreachable, c.group.String(), string(c.owner))
 		t.send(c.owner, ReleasePermit{Place: c.permit})
 		t.pickLocally(c)
 		t.suspect(c.owner)
--- a/core/host/capacity_test.go
+++ b/core/host/capacity_test.go
@@ -157,7 +157,7 @@
 			return nanos(func(b *testing.B) {
 				for i := 0; b.Loop(); i++ {
 					id := ident.Request(fmt.Sprintf("r%d", i))
-					s, _ = host.Reduce(s, host.Arrived{Request: host.Request{
+					s, _ = host.Reduce(s, host.RequestArrived{Request: host.Request{
 						ID: id, KeyHash: keyOf("account-1"), Model: model, Chat: hash.Of(fmt.Sprint(i % 1000)), Deadline: at.Add(time.Minute),
 					}}, at)
 					s, _ = host.Reduce(s, host.AttemptEnded{Request: id, Attempt: 1, Result: outcome.Answered{}}, at)
@@ -222,7 +222,7 @@
 			return nanos(func(b *testing.B) {
 				for b.Loop() {
 					version++
-					s, _ = host.Reduce(s, host.Received{From: "state", Message: host.Changes{
+					s, _ = host.Reduce(s, host.MessageReceived{From: "state", Message: host.Changes{
 						Version: version, Deltas: []catalog.Delta{{Version: version, Change: config.PutClass{Class: config.Class{ID: "bulk", Rank: 2}}}},
 					}}, at)
 				}
@@ -280,7 +280,7 @@
 
 func bootWith(doc config.Document, now time.Time) host.State {
 	s := host.New(host.Settings{ID: hostName(0), Zone: zone(0), Serves: true}, 1, now)
-	s, _ = host.Reduce(s, host.Received{From: "state", Message: host.WholeConfig{Leader: "state", Fresh: true, Document: doc}}, now)
+	s, _ = host.Reduce(s, host.MessageReceived{From: "state", Message: host.WholeConfig{Leader: "state", Fresh: true, Document: doc}}, now)
 	return s
 }
 
--- a/core/host/claim.go
+++ b/core/host/claim.go
@@ -36,7 +36,7 @@
 		// Nothing was sent, and the claim, if it was taken, is given back.
 		c.claimed = true
 		t.finish(c, Verdict{
-			Outcome: outcome.NotRun, Code: CodeNoQuorum, RetryAfter: retryAfter,
+			Outcome: outcome.NotRun, Code: CodeClaimUnavailable, RetryAfter: retryAfter,
 			Reason: "the right to run it once could not be had in time; this attempt did not run",
 		})
 		return
@@ -81,7 +81,7 @@
 	v := Verdict{Outcome: outcome.Unknown, Reason: r.Reason, Claim: &r.Claim}
 	switch r.Code {
 	case catalog.ClaimTaken:
-		v.Code, v.Reason = CodeRunning, "a request with this key has begun and its end is not known"
+		v.Code, v.Reason = CodeAlreadyRunning, "a request with this key has begun and its end is not known"
 		if r.Claim.Ended == outcome.Ran {
 			v.Outcome, v.Code, v.Reason = outcome.Ran, CodeAlreadyRan, "a request with this key has run"
 		}
--- a/core/host/claim_test.go
+++ b/core/host/claim_test.go
@@ -40,14 +40,14 @@
 	}
 	r := &router{t: t, now: time.Unix(1_000_000, 0)}
 	r.s = host.New(host.Settings{ID: "h", Zone: "z0", Serves: true, Incarnation: 1}, 1, r.now)
-	r.feed(host.Received{From: "state", Message: host.WholeConfig{Leader: "state", Fresh: true, Document: cfg.Document()}})
+	r.feed(host.MessageReceived{From: "state", Message: host.WholeConfig{Leader: "state", Fresh: true, Document: cfg.Document()}})
 	return r
 }
 
 func (r *router) feed(ev host.Event) { r.s, r.out = host.Reduce(r.s, ev, r.now) }
 
 func (r *router) arrive(id ident.Request, path, key string) {
-	r.feed(host.Arrived{Request: host.Request{
+	r.feed(host.RequestArrived{Request: host.Request{
 		ID: id, KeyHash: keyOf("a"), Service: "floor", Path: path, IdempotencyKey: key, KeyCreated: r.now, Deadline: r.now.Add(time.Minute),
 	}})
 }
@@ -65,7 +65,7 @@
 
 func (r *router) claimed(id string, code catalog.Code, claim catalog.Claim) {
 	claim.Request = ident.Request(id)
-	r.feed(host.Received{From: "state", Message: host.WriteAnswered{ID: "claim/" + id, Result: catalog.Result{Code: code, Claim: claim}}})
+	r.feed(host.MessageReceived{From: "state", Message: host.WriteAnswered{ID: "claim/" + id, Result: catalog.Result{Code: code, Claim: claim}}})
 }
 
 func (r *router) verdict() host.Verdict {
@@ -114,7 +114,7 @@
 	r.claimed("r1", catalog.OK, catalog.Claim{})
 	first, ok := effect[host.Dispatch](r)
 	require.True(t, ok)
-	require.True(t, first.Once)
+	require.True(t, first.AtMostOnce)
 	r.feed(host.AttemptEnded{Request: "r1", Attempt: 1, Result: outcome.Declined{Reason: "busy"}})
 	second, ok := effect[host.Dispatch](r)
 	require.True(t, ok, "declined means that it did not run")
@@ -143,14 +143,14 @@
 	r.arrive("r3", "/free", "")
 	require.Equal(t, outcome.NotRun, r.verdict().Outcome, "over the limit, no key")
 	r.arrive("r4", "/once", "k")
-	require.Equal(t, host.CodeLimit, r.verdict().Code)
+	require.Equal(t, host.CodeLimitExceeded, r.verdict().Code)
 	require.Equal(t, outcome.Unknown, r.verdict().Outcome)
 	r.feed(host.AttemptEnded{Request: "r1", Attempt: 1, Result: outcome.Answered{}})
 	r.arrive("r5", "/once", "k")
 	r.claimed("r5", catalog.ClaimTaken, catalog.Claim{Ended: outcome.Ran, Host: "other"})
 	_, told := effect[host.Finish](r)
 	require.False(t, told, "the answer of the first is asked for")
-	r.feed(host.Received{From: "other", Message: host.AnswerOf{For: "r5", Answer: &host.Answer{Status: 200, Body: []byte("first")}}})
+	r.feed(host.MessageReceived{From: "other", Message: host.AnswerOf{For: "r5", Answer: &host.Answer{Status: 200, Body: []byte("first")}}})
 	require.Equal(t, outcome.Ran, r.verdict().Outcome)
 	require.Equal(t, []byte("first"), r.verdict().Answer.Body)
 	r.arrive("r7", "/once", "k")
--- a/core/host/clients.go
+++ b/core/host/clients.go
@@ -124,7 +124,7 @@
 func (t *transition) relayedHeartbeats(from ident.Host, packed []byte) {
 	workers, err := registry.Unpack(packed)
 	if err != nil {
-		t.note(NoteWorker, string(from), "sent heartbeats that cannot be read: "+err.Error())
+		t.note(LogWorkerRegistration, string(from), "sent heartbeats that cannot be read: "+err.Error())
 	}
 	if !t.settings.IsReplica() {
 		t.seeded.relay = t.seeded.relay.WithHeartbeats(workers...)
--- a/core/host/crashes.go
+++ b/core/host/crashes.go
@@ -229,7 +229,7 @@
 	for _, e := range entries {
 		was, _ := before.Get(e.Content)
 		if is, _ := after.Get(e.Content); is.Ends != was.Ends {
-			t.note(NoteCrashes, is.Content.String(), fmt.Sprintf("ends=%d before=%d last_ms=%d refused=%t by=%s",
+			t.note(LogCrashes, is.Content.String(), fmt.Sprintf("ends=%d before=%d last_ms=%d refused=%t by=%s",
 				is.Ends, was.Ends, t.now.Sub(is.At).Milliseconds(), is.Ends >= crashes.EndsToRefuse, from))
 		}
 	}
@@ -244,7 +244,7 @@
 		return
 	}
 	t.crashes.kept = kept.Key
-	t.emit(KeepCrashes{Entries: t.crashEntries(kept)})
+	t.emit(PersistCrashes{Entries: t.crashEntries(kept)})
 }
 
 // crashEntries are the entries of a list as they travel.
@@ -274,8 +274,8 @@
 	t.crashes.evidence = t.crashes.evidence.Forget(t.now)
 }
 
-// WithCrashes returns the process with the list of crashes read from disk.
-func (s State) WithCrashes(entries []CrashEntry, now time.Time) State {
+// WithCrashList returns the process with the list of crashes read from disk.
+func (s State) WithCrashList(entries []CrashEntry, now time.Time) State {
 	t := transition{State: s, now: now}
 	t.takeCrashEntries(s.settings.ID, entries)
 	t.crashes.kept = t.requests.CrashList().Settled().Key
--- a/core/host/drain.go
+++ b/core/host/drain.go
@@ -10,7 +10,7 @@
 		return
 	}
 	t.draining = true
-	t.note(NoteDrain, string(t.settings.ID), "")
+	t.note(LogDraining, string(t.settings.ID), "")
 	if !t.settings.Seeded() {
 		t.sendHeartbeats()
 		t.ownersChanged()
--- a/core/host/earlier_test.go
+++ b/core/host/earlier_test.go
@@ -50,7 +50,7 @@
 	for range 80 {
 		f.run(seededStep)
 		for _, p := range kept {
-			f.reduce(p.to, host.Received{From: p.from, Message: p.message})
+			f.reduce(p.to, host.MessageReceived{From: p.from, Message: p.message})
 		}
 		_, served := f.ask(entryName(0), "/x/1", "old").(requests.Dispatch)
 		require.False(t, served, "by an answer to the process before")
@@ -79,7 +79,7 @@
 		}
 	}
 	for _, p := range kept {
-		f.reduce(p.to, host.Received{From: p.from, Message: p.message})
+		f.reduce(p.to, host.MessageReceived{From: p.from, Message: p.message})
 	}
 	f.run(500 * time.Millisecond)
 }
--- a/core/host/effect.go
+++ b/core/host/effect.go
@@ -12,121 +12,121 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// Effect is what the process must do. The set is closed.
+// Effect is an action that Reduce asks the process to carry out. The set is closed.
 type Effect interface{ effect() }
 
 type (
-	// Send transmits a message; it may be lost, doubled or reordered.
+	// Send transmits a message, which may be lost, duplicated or reordered.
 	Send struct {
 		To      ident.Host
 		Message Message
 	}
-	// Persist is a raft.Persist for the disk.
+	// Persist writes to the replica's disk. An EntriesPersisted event reports completion.
 	Persist struct{ Persist raft.Persist }
-	// Dispatch tells the callers' side to try the request on Target.
+	// Dispatch sends a request to Target.
 	Dispatch struct {
 		Request ident.Request
 		Attempt int
 		Target  config.Target
-		// Once forbids any resend below the reducer.
-		Once bool
-		Rank int
-		// Timeout bounds the attempt.
+		// AtMostOnce forbids the transport to resend the request.
+		AtMostOnce bool
+		Rank       int
+		// Deadline bounds the attempt.
 		Deadline time.Time
 	}
-	// Finish ends a request.
+	// Finish ends a request and answers its caller.
 	Finish struct {
 		Request ident.Request
 		Verdict Verdict
 	}
-	// Probe asks a target for its load report.
+	// Probe requests a target's load report.
 	Probe struct{ Target config.Target }
 	// SendOrder sends a fenced order to an engine.
 	SendOrder struct {
 		Order Order
-		// ReadFirst asks for the engine's state before the order.
+		// ReadFirst requests the engine's state before the order.
 		ReadFirst bool
 	}
-	// AnswerWrite ends a Submitted.
+	// AnswerWrite answers a WriteSubmitted.
 	AnswerWrite struct {
 		ID     string
 		Result catalog.Result
-		// Known is false where the write may or may not have been done.
+		// Known is false if the write may or may not have taken effect.
 		Known bool
 	}
-	// Note is a change of state worth a log line.
-	Note struct {
-		Kind   NoteKind
+	// LogRecord logs a state change.
+	LogRecord struct {
+		Kind   LogKind
 		Object string
 		Detail string
 	}
-	// LookUp asks for a kept answer, to be sent in an AnswerOf.
-	LookUp struct {
+	// LookUpAnswer looks up the stored answer to Request and sends it to To in an AnswerOf.
+	LookUpAnswer struct {
 		Request ident.Request
 		For     ident.Request
 		To      ident.Host
 	}
-	// KeepCrashes puts the list of crashes on a replica's disk, in place of the one before.
-	// Nothing waits for it.
-	KeepCrashes struct{ Entries []CrashEntry }
-	// KnowHosts tells the transport where hosts listen.
-	KnowHosts struct{ Hosts []config.Host }
-	// RequestDecision carries out a decision of the gateway.
+	// PersistCrashes replaces the crash list on a replica's disk. Its completion is not
+	// reported.
+	PersistCrashes struct{ Entries []CrashEntry }
+	// UpdateHostAddresses gives the transport the addresses of the hosts.
+	UpdateHostAddresses struct{ Hosts []config.Host }
+	// RequestDecision carries out a decision of core/requests.
 	RequestDecision struct{ Decision requests.Decision }
-	// AnswerRead ends a Read; OK tells that the configuration held is the
-	// newest one.
+	// AnswerRead answers a ReadSubmitted. Current is set if this host's configuration is
+	// the newest one.
 	AnswerRead struct {
-		ID string
-		OK bool
+		ID      string
+		Current bool
 	}
-	// HeartbeatAnswer answers a worker: whether its heartbeat was taken, and the ip:port
-	// for its next heartbeats, empty for no change.
+	// HeartbeatAnswer answers a worker's heartbeat or deregistration. Relay is the ip:port for
+	// its next heartbeats, empty for no change.
 	HeartbeatAnswer struct {
-		Taken bool
-		Relay string
-		// Invalid is why the heartbeat names no worker to use; empty where it names one.
-		Invalid string
+		Accepted bool
+		Relay    string
+		// InvalidReason says why the heartbeat is invalid; empty if it is valid.
+		InvalidReason string
 	}
 )
 
-func (Send) effect()            {}
-func (Persist) effect()         {}
-func (Dispatch) effect()        {}
-func (Finish) effect()          {}
-func (Probe) effect()           {}
-func (SendOrder) effect()       {}
-func (AnswerWrite) effect()     {}
-func (Note) effect()            {}
-func (LookUp) effect()          {}
-func (KeepCrashes) effect()     {}
-func (KnowHosts) effect()       {}
-func (RequestDecision) effect() {}
-func (AnswerRead) effect()      {}
-func (HeartbeatAnswer) effect() {}
+func (Send) effect()                {}
+func (Persist) effect()             {}
+func (Dispatch) effect()            {}
+func (Finish) effect()              {}
+func (Probe) effect()               {}
+func (SendOrder) effect()           {}
+func (AnswerWrite) effect()         {}
+func (LogRecord) effect()           {}
+func (LookUpAnswer) effect()        {}
+func (PersistCrashes) effect()      {}
+func (UpdateHostAddresses) effect() {}
+func (RequestDecision) effect()     {}
+func (AnswerRead) effect()          {}
+func (HeartbeatAnswer) effect()     {}
 
-// NoteKind names a change of state.
-type NoteKind string
+// LogKind is the message of a LogRecord.
+type LogKind string
 
-// Kinds of note.
+// Kinds of log records.
 const (
-	NoteRole      NoteKind = "replica role"
-	NoteConfig    NoteKind = "configuration"
-	NoteHostUp    NoteKind = "host up"
-	NoteHostDown  NoteKind = "host down"
-	NoteOwner     NoteKind = "group ownership"
-	NoteTarget    NoteKind = "target health"
-	NoteReady     NoteKind = "ready"
-	NoteDrain     NoteKind = "draining"
-	NoteFallback  NoteKind = "owner unreachable"
-	NoteStateLoad NoteKind = "state restored"
-	NoteMembers   NoteKind = "replica membership"
-	NoteWorker    NoteKind = "worker registration"
-	NoteReplica   NoteKind = "replica contact"
-	NoteHub       NoteKind = "hub"
-	NoteZone      NoteKind = "zone contact"
-	NoteInForce   NoteKind = "route table in force"
-	NoteCrashes   NoteKind = "workers ended under request"
-	NoteZoneOrder NoteKind = "zone order"
-	// NoteZonesInForce tells when an order for a zone was acknowledged, and what it waited for.
-	NoteZonesInForce NoteKind = "zone order in force"
+	LogReplicaRole        LogKind = "replica role"
+	LogConfiguration      LogKind = "configuration"
+	LogHostUp             LogKind = "host up"
+	LogHostDown           LogKind = "host down"
+	LogGroupOwner         LogKind = "group ownership"
+	LogTargetHealth       LogKind = "target health"
+	LogReady              LogKind = "ready"
+	LogDraining           LogKind = "draining"
+	LogOwnerUnreachable   LogKind = "owner unreachable"
+	LogStateRestored      LogKind = "state restored"
+	LogReplicaMembership  LogKind = "replica membership"
+	LogWorkerRegistration LogKind = "worker registration"
+	LogReplicaContact     LogKind = "replica contact"
+	LogHub                LogKind = "hub"
+	LogZoneContact        LogKind = "zone contact"
+	LogTableInForce       LogKind = "route table in force"
+	LogCrashes            LogKind = "workers ended under request"
+	LogZoneOrder          LogKind = "zone order"
+	// LogZoneOrderInForce records when a zone order was acknowledged, and what it waited for.
+	LogZoneOrderInForce LogKind = "zone order in force"
 )
--- a/core/host/event.go
+++ b/core/host/event.go
@@ -16,31 +16,31 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// Event is what a process reacts to. The set is closed.
+// Event is an input of Reduce. The set is closed.
 type Event interface{ event() }
 
 type (
-	// Tick lets time pass.
+	// Tick drives timeouts and periodic work.
 	Tick struct{}
-	// Suspended reports for how long in sum the machine was suspended since the process
-	// started: by so much is the clock by which events come ahead of the time of day.
+	// Suspended reports the total time that the machine was suspended since the process
+	// started. Event times are ahead of the time of day by this much.
 	Suspended struct{ Total time.Duration }
-	// Received delivers a message of another host.
-	Received struct {
+	// MessageReceived delivers a message from another host.
+	MessageReceived struct {
 		From    ident.Host
 		Message Message
 	}
-	// Arrived is a caller's request.
-	Arrived struct{ Request Request }
-	// AttemptEnded reports how a try on a target ended.
+	// RequestArrived delivers a caller's request.
+	RequestArrived struct{ Request Request }
+	// AttemptEnded reports the result of an attempt on a target.
 	AttemptEnded struct {
 		Request ident.Request
 		Attempt int
 		Result  outcome.Attempt
 	}
-	// Reported is a target's load report, or Failed where it gave none; Refused is set where
-	// no process listens there.
-	Reported struct {
+	// LoadReported delivers a target's load report. Failed is set if the target returned none,
+	// and Refused if it refused the connection.
+	LoadReported struct {
 		Target   ident.Target
 		Failed   bool
 		Refused  bool
@@ -49,14 +49,14 @@
 		InFlight int
 		Leaving  bool
 	}
-	// Listed is the platform's list of targets.
-	Listed struct{ Targets []ListedTarget }
-	// Submitted is a write by an operator or by this process.
-	Submitted struct {
+	// TargetsListed delivers the platform's list of targets.
+	TargetsListed struct{ Targets []ListedTarget }
+	// WriteSubmitted submits a write by an operator or by this process.
+	WriteSubmitted struct {
 		Write    catalog.Write
 		Deadline time.Time
 	}
-	// OrderEnded reports what an engine made of an order.
+	// OrderEnded reports the result of an order to an engine.
 	OrderEnded struct {
 		Order Order
 		OK    bool
@@ -64,46 +64,46 @@
 	}
 	// EntriesPersisted reports that a raft.Persist is on disk.
 	EntriesPersisted struct{ Persisted raft.Persisted }
-	// Drain begins the planned stop of this process.
+	// Drain starts a graceful shutdown of this process.
 	Drain struct{}
 	// ReplicaChange asks the leader to add, promote or remove a replica.
 	ReplicaChange struct {
 		Member raft.Member
 		Remove bool
 	}
-	// RequestEvent is an event of a request of the route table.
+	// RequestEvent delivers an event for core/requests, which serves the route table.
 	RequestEvent struct{ Event requests.Event }
-	// HeartbeatReceived is a worker's heartbeat. A HeartbeatAnswer follows at once.
+	// HeartbeatReceived delivers a worker's heartbeat. The transition emits a HeartbeatAnswer.
 	HeartbeatReceived struct{ Worker registry.Worker }
-	// HeartbeatUnreadable is a heartbeat, or a deregistration, that could not be read. A
-	// HeartbeatAnswer follows at once.
+	// HeartbeatUnreadable reports a heartbeat or a deregistration that could not be decoded.
+	// The transition emits a HeartbeatAnswer.
 	HeartbeatUnreadable struct {
 		Worker ident.Target
 		Reason string
 	}
-	// DeregistrationReceived reports that a worker ends: the process that started at Born,
-	// or with 0 the one that is known. A HeartbeatAnswer follows at once.
+	// DeregistrationReceived deregisters the worker process with incarnation Born, or the
+	// registered one if Born is 0. The transition emits a HeartbeatAnswer.
 	DeregistrationReceived struct {
 		Worker ident.Target
 		Born   registry.Incarnation
 	}
-	// Read asks whether the configuration held is the newest one.
-	Read struct {
+	// ReadSubmitted asks whether this host's configuration is the newest one.
+	ReadSubmitted struct {
 		ID       string
 		Deadline time.Time
 	}
-	// Reseeded gives the addresses at which replicas can be found.
-	Reseeded struct{ Seeds []ident.Host }
+	// SeedsChanged replaces the seed addresses of the replicas.
+	SeedsChanged struct{ Seeds []ident.Host }
 )
 
 func (Tick) event()                   {}
 func (Suspended) event()              {}
-func (Received) event()               {}
-func (Arrived) event()                {}
+func (MessageReceived) event()        {}
+func (RequestArrived) event()         {}
 func (AttemptEnded) event()           {}
-func (Reported) event()               {}
-func (Listed) event()                 {}
-func (Submitted) event()              {}
+func (LoadReported) event()           {}
+func (TargetsListed) event()          {}
+func (WriteSubmitted) event()         {}
 func (OrderEnded) event()             {}
 func (EntriesPersisted) event()       {}
 func (Drain) event()                  {}
@@ -112,37 +112,37 @@
 func (HeartbeatReceived) event()      {}
 func (HeartbeatUnreadable) event()    {}
 func (DeregistrationReceived) event() {}
-func (Read) event()                   {}
-func (Reseeded) event()               {}
+func (ReadSubmitted) event()          {}
+func (SeedsChanged) event()           {}
 
-// ListedTarget is one line of the platform's list.
+// ListedTarget is an entry of the platform's list of targets.
 type ListedTarget struct {
 	ID      ident.Target
 	Listing health.Listing
 }
 
-// Request is what the callers' side has read of a request.
+// Request is a caller's request as parsed by the HTTP front end.
 type Request struct {
 	ID ident.Request
 	// KeyHash is the hex SHA-256 of the caller's key.
 	KeyHash string
-	// Model is set for inference, Service and Path for plain services.
+	// Model is set for inference requests, Service and Path for plain services.
 	Model   ident.Model
 	Service ident.Service
 	Path    string
 	Class   ident.Class
 	Chat    hash.Key
 	Work    int64
-	// Once is true where the caller marks the request not repeatable.
-	Once bool
-	// IdempotencyKey marks the logical request, made at KeyCreated.
+	// AtMostOnce is set if the caller marks the request as not repeatable.
+	AtMostOnce bool
+	// IdempotencyKey identifies the logical request; the caller created it at KeyCreated.
 	IdempotencyKey string
 	KeyCreated     time.Time
 	Digest         uint64
 	Deadline       time.Time
 }
 
-// Order is one fenced order to an engine.
+// Order is an order to an engine, fenced by Token.
 type Order struct {
 	Plan   ident.Plan
 	Step   int
@@ -151,6 +151,6 @@
 	Model  ident.Model
 	Target config.Target
 	Bytes  int64
-	// NotAfter is when the order must not be sent any more.
+	// NotAfter is the time after which the order must not be sent.
 	NotAfter time.Time
 }
--- a/core/host/fallback_test.go
+++ b/core/host/fallback_test.go
@@ -137,7 +137,7 @@
 	require.True(t, f.states[entryName(0)].Ready())
 	f.beats = nil
 	f.beat(entryName(0), "w1", registry.Ready, 9)
-	require.False(t, f.beats[0].Taken)
+	require.False(t, f.beats[0].Accepted)
 }
 
 // TestLargeFleetsAreToldOfHubsOnly starts a large fleet: nobody is told of neighbours,
--- a/core/host/fanout_test.go
+++ b/core/host/fanout_test.go
@@ -21,7 +21,7 @@
 func replica(t testing.TB, now *time.Time) func(host.Event) []host.Effect {
 	self := config.Host{ID: "state", Zone: "z0", Address: "127.0.0.1:1"}
 	s := host.New(host.Settings{ID: self.ID, Zone: self.Zone, Address: self.Address, Replicas: []config.Host{self}}, 1, *now)
-	s, err := s.WithReplica(raft.Boot{}, *now)
+	s, err := s.WithReplicaState(raft.Boot{}, *now)
 	require.NoError(t, err)
 	feed := func(ev host.Event) []host.Effect {
 		var out []host.Effect
@@ -47,8 +47,8 @@
 	return feed
 }
 
-func putClass(rank int) host.Submitted {
-	return host.Submitted{Deadline: time.Unix(2_000_000_000, 0), Write: catalog.Write{
+func putClass(rank int) host.WriteSubmitted {
+	return host.WriteSubmitted{Deadline: time.Unix(2_000_000_000, 0), Write: catalog.Write{
 		ID: fmt.Sprint("w", rank), Command: catalog.Edit{Change: config.PutClass{Class: config.Class{ID: "c", Rank: rank}}},
 	}}
 }
@@ -62,7 +62,7 @@
 	for i := range 30 {
 		feed(putClass(i))
 		for _, version := range []config.Version{0, config.Version(i / 2)} {
-			for _, e := range feed(host.Received{From: "h", Message: host.Follow{Host: config.Host{ID: "h", Zone: "z0", Address: "127.0.0.1:1"}, Version: version}}) {
+			for _, e := range feed(host.MessageReceived{From: "h", Message: host.Follow{Host: config.Host{ID: "h", Zone: "z0", Address: "127.0.0.1:1"}, Version: version}}) {
 				if m, ok := e.(host.Send); ok && m.To == "h" {
 					sent = append(sent, m.Message)
 				}
@@ -72,7 +72,7 @@
 	f := host.New(host.Settings{ID: "h", Zone: "z0", Serves: true}, 1, now)
 	highest := config.Version(0)
 	for i := range sent {
-		f, _ = host.Reduce(f, host.Received{From: "state", Message: sent[(i*37)%len(sent)]}, now)
+		f, _ = host.Reduce(f, host.MessageReceived{From: "state", Message: sent[(i*37)%len(sent)]}, now)
 		require.GreaterOrEqual(t, f.Config().Version, highest)
 		highest = f.Config().Version
 	}
@@ -88,7 +88,7 @@
 			feed := replica(b, &now)
 			for i := range hosts {
 				id := ident.Host(fmt.Sprintf("h%03d", i))
-				feed(host.Received{From: id, Message: host.Follow{Host: config.Host{ID: id, Zone: "z0", Address: "127.0.0.1:1"}, Version: 1}})
+				feed(host.MessageReceived{From: id, Message: host.Follow{Host: config.Host{ID: id, Zone: "z0", Address: "127.0.0.1:1"}, Version: 1}})
 			}
 			n, sends, bytes := 0, 0, 0.0
 			for b.Loop() {
@@ -116,7 +116,7 @@
 	boot := func(b *testing.B, disk raft.Boot) {
 		for b.Loop() {
 			s := host.New(host.Settings{ID: self.ID, Replicas: []config.Host{self}}, 1, now)
-			s, err := s.WithReplica(disk, now)
+			s, err := s.WithReplicaState(disk, now)
 			require.NoError(b, err)
 			at := now
 			for s.Raft().Role() != raft.Leader {
--- a/core/host/follow.go
+++ b/core/host/follow.go
@@ -87,7 +87,7 @@
 
 func (t *transition) becomeReady(how string) {
 	t.ready = true
-	t.note(NoteReady, string(t.settings.ID), fmt.Sprintf("version=%d from %s", t.config.Version, how))
+	t.note(LogReady, string(t.settings.ID), fmt.Sprintf("version=%d from %s", t.config.Version, how))
 }
 
 func (t *transition) selfHost() config.Host {
@@ -253,7 +253,7 @@
 	t.rememberTable(cfg)
 	t.counters.ConfigApplied++
 	if hostsMoved {
-		t.emit(KnowHosts{Hosts: cfg.Hosts.Values()})
+		t.emit(UpdateHostAddresses{Hosts: cfg.Hosts.Values()})
 	}
 	if !t.settings.Seeded() {
 		owners := t.layout.owners
@@ -261,5 +261,5 @@
 		t.layout.owners = owners
 		t.ownersChanged()
 	}
-	t.note(NoteConfig, string(t.settings.ID), fmt.Sprintf("version=%d", cfg.Version))
+	t.note(LogConfiguration, string(t.settings.ID), fmt.Sprintf("version=%d", cfg.Version))
 }
--- a/core/host/heartbeat_test.go
+++ b/core/host/heartbeat_test.go
@@ -26,10 +26,10 @@
 	good := f.worker(1, registry.Ready)
 	early := good
 	early.ID, early.Pool, early.Address = "early", "not-yet-named", "10.9.1.1:80"
-	require.True(t, f.say(replica, host.HeartbeatReceived{Worker: early}).Taken, "no table is held yet")
+	require.True(t, f.say(replica, host.HeartbeatReceived{Worker: early}).Accepted, "no table is held yet")
 	require.True(t, f.put(f.leader(), f.table(1, "k"), time.Second))
-	require.True(t, f.say(replica, host.HeartbeatReceived{Worker: good}).Taken)
-	require.True(t, f.say(replica, host.HeartbeatReceived{Worker: early}).Taken, "it was known before")
+	require.True(t, f.say(replica, host.HeartbeatReceived{Worker: good}).Accepted)
+	require.True(t, f.say(replica, host.HeartbeatReceived{Worker: early}).Accepted, "it was known before")
 	before, _ := f.states[replica].Registry().Get(good.ID)
 
 	for name, spoil := range map[string]func(*registry.Worker){
@@ -45,15 +45,15 @@
 		spoil(&bad)
 		counted := f.states[replica].Counters().HeartbeatsInvalid
 		answer := f.say(replica, host.HeartbeatReceived{Worker: bad})
-		require.False(t, answer.Taken, name)
-		require.NotEmpty(t, answer.Invalid, name)
+		require.False(t, answer.Accepted, name)
+		require.NotEmpty(t, answer.InvalidReason, name)
 		require.Equal(t, counted+1, f.states[replica].Counters().HeartbeatsInvalid)
 		known, _ := f.states[replica].Registry().Get(good.ID)
 		require.Equal(t, before, known, name)
 		require.Equal(t, 2, f.states[replica].Registry().Len(), name)
 	}
-	require.NotEmpty(t, f.say(replica, host.DeregistrationReceived{Worker: good.ID, Born: -3}).Invalid)
-	require.NotEmpty(t, f.say(replica, host.HeartbeatUnreadable{Worker: good.ID, Reason: "cut short"}).Invalid)
+	require.NotEmpty(t, f.say(replica, host.DeregistrationReceived{Worker: good.ID, Born: -3}).InvalidReason)
+	require.NotEmpty(t, f.say(replica, host.HeartbeatUnreadable{Worker: good.ID, Reason: "cut short"}).InvalidReason)
 	known, _ := f.states[replica].Registry().Get(good.ID)
 	require.Equal(t, before, known)
 }
@@ -64,11 +64,11 @@
 	f.run(5 * time.Second)
 	good, bad, unreadable := f.worker(1, registry.Ready), f.worker(2, registry.Ready), f.worker(3, registry.Ready)
 	bad.Address, unreadable.State = "", 77
-	f.reduce(replicaName(0), host.Received{From: entryName(0), Message: host.Poll{
+	f.reduce(replicaName(0), host.MessageReceived{From: entryName(0), Message: host.Poll{
 		Round: 1, Serves: true, Boot: 1 << 40, Beats: registry.Pack([]registry.Worker{bad, good, unreadable}),
 	}})
 	require.Equal(t, 1, f.states[replicaName(0)].Registry().Len(), "the others hold")
-	f.reduce(entryName(0), host.Received{From: replicaName(0), Message: host.PollReply{
+	f.reduce(entryName(0), host.MessageReceived{From: replicaName(0), Message: host.PollReply{
 		Epoch: 5, Revision: 3, Workers: registry.Pack([]registry.Worker{unreadable, good}),
 	}})
 	_, known := f.states[entryName(0)].Requests().Worker(unreadable.ID)
@@ -89,10 +89,10 @@
 		w := f.worker(i, registry.Ready)
 		w.Born, w.Seq = bornFirst, 1
 		answer := f.say(f.relay[w.ID], host.HeartbeatReceived{Worker: w})
-		if !answer.Taken {
+		if !answer.Accepted {
 			answer = f.say(replicaName(i%3), host.HeartbeatReceived{Worker: w})
 		}
-		require.True(t, answer.Taken)
+		require.True(t, answer.Accepted)
 		// Late ones of a process that said no start change nothing.
 		f.say(replicaName((i+1)%3), host.HeartbeatReceived{Worker: f.worker(i, registry.Ready)})
 	}
@@ -100,8 +100,8 @@
 	for i := range 5 {
 		w := f.worker(i, registry.Ready)
 		w.Born, w.Seq = bornFirst+60_000, 1
-		require.False(t, f.say(f.relay[w.ID], host.HeartbeatReceived{Worker: w}).Taken, "it is news, for replicas")
-		require.True(t, f.say(replicaName(i%3), host.HeartbeatReceived{Worker: w}).Taken)
+		require.False(t, f.say(f.relay[w.ID], host.HeartbeatReceived{Worker: w}).Accepted, "it is news, for replicas")
+		require.True(t, f.say(replicaName(i%3), host.HeartbeatReceived{Worker: w}).Accepted)
 	}
 	f.run(time.Second)
 	for e := range 4 {
@@ -119,16 +119,16 @@
 	f := &relayedFleet{seededFleet: newSeededFleet(t, 3, 0)}
 	f.run(time.Second)
 	known := f.worker(1, registry.Ready)
-	require.True(t, f.say(replicaName(0), host.HeartbeatReceived{Worker: known}).Taken)
+	require.True(t, f.say(replicaName(0), host.HeartbeatReceived{Worker: known}).Accepted)
 	taken := 0
 	for i := range 9000 {
 		w := f.worker(2, registry.Ready)
 		w.ID, w.Pool, w.Address = ident.Target(fmt.Sprint("invented-", i)), "any", fmt.Sprintf("10.8.%d.%d:80", i/250, i%250)
-		if f.say(replicaName(0), host.HeartbeatReceived{Worker: w}).Taken {
+		if f.say(replicaName(0), host.HeartbeatReceived{Worker: w}).Accepted {
 			taken++
 		}
 	}
 	require.Less(t, taken, 8500)
-	require.True(t, f.say(replicaName(0), host.HeartbeatReceived{Worker: known}).Taken)
-	require.True(t, f.say(replicaName(0), host.DeregistrationReceived{Worker: "invented-8999"}).Taken)
+	require.True(t, f.say(replicaName(0), host.HeartbeatReceived{Worker: known}).Accepted)
+	require.True(t, f.say(replicaName(0), host.DeregistrationReceived{Worker: "invented-8999"}).Accepted)
 }
--- a/core/host/host.go
+++ b/core/host/host.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// WithReplica returns the process with the replicated state read from disk.
-func (s State) WithReplica(b raft.Boot, now time.Time) (State, error) {
+// WithReplicaState returns the process with the replicated state read from disk.
+func (s State) WithReplicaState(b raft.Boot, now time.Time) (State, error) {
 	if len(b.Snapshot.Data) > 0 {
 		c, err := catalog.Decode(b.Snapshot.Data)
 		if err != nil {
@@ -151,17 +151,17 @@
 		t.tick()
 	case Suspended:
 		t.suspended = ev.Total
-	case Received:
+	case MessageReceived:
 		t.receive(ev.From, ev.Message)
-	case Arrived:
+	case RequestArrived:
 		t.arrive(ev.Request)
 	case AttemptEnded:
 		t.attemptEnded(ev)
-	case Reported:
+	case LoadReported:
 		t.reported(ev)
-	case Listed:
+	case TargetsListed:
 		t.listed(ev.Targets)
-	case Submitted:
+	case WriteSubmitted:
 		t.submit(ev.Write, ev.Deadline)
 	case OrderEnded:
 		t.orderEnded(ev)
@@ -179,10 +179,10 @@
 		t.deregistrationReceived(ev)
 	case HeartbeatUnreadable:
 		t.heartbeatInvalid(ev.Worker, ev.Reason)
-		t.emit(HeartbeatAnswer{Invalid: ev.Reason})
-	case Read:
+		t.emit(HeartbeatAnswer{InvalidReason: ev.Reason})
+	case ReadSubmitted:
 		t.read(ev)
-	case Reseeded:
+	case SeedsChanged:
 		t.settings.Seeds = ev.Seeds
 	}
 	return t.State, t.out
@@ -197,8 +197,8 @@
 
 func (t *transition) emit(e Effect) { t.out = append(t.out, e) }
 
-func (t *transition) note(kind NoteKind, object, detail string) {
-	t.emit(Note{Kind: kind, Object: object, Detail: detail})
+func (t *transition) note(kind LogKind, object, detail string) {
+	t.emit(LogRecord{Kind: kind, Object: object, Detail: detail})
 }
 
 // send transmits m, or delivers it at once where it is for this process.
@@ -247,7 +247,7 @@
 	case AdoptChats:
 		t.adoptChats(m)
 	case FetchAnswer:
-		t.emit(LookUp{Request: m.Request, For: m.For, To: from})
+		t.emit(LookUpAnswer{Request: m.Request, For: m.For, To: from})
 	case AnswerOf:
 		t.answerOf(m)
 	case Follow:
--- a/core/host/hub.go
+++ b/core/host/hub.go
@@ -122,7 +122,7 @@
 		t.registry = t.registry.WithReport(w, t.now)
 	}
 	t.rememberTable(t.config)
-	t.note(NoteHub, string(t.settings.ID), "answers other hosts")
+	t.note(LogHub, string(t.settings.ID), "answers other hosts")
 }
 
 // hubReply adds to a reply what a hub knows in place of a leader.
--- a/core/host/hub_test.go
+++ b/core/host/hub_test.go
@@ -290,11 +290,11 @@
 	}
 	first := answer(replicaName(0), "new")
 	relay, ok := strings.CutPrefix(first.Relay, "relay at ")
-	require.True(t, first.Taken && ok, "%#v", first)
+	require.True(t, first.Accepted && ok, "%#v", first)
 	require.EqualValues(t, "z1", f.zoneOf(ident.Host(relay)))
 	taken := 0
 	for i := range 100 {
-		if answer(ident.Host(relay), fmt.Sprint("many-", i)).Taken {
+		if answer(ident.Host(relay), fmt.Sprint("many-", i)).Accepted {
 			taken++
 		}
 	}
--- a/core/host/inforce.go
+++ b/core/host/inforce.go
@@ -20,7 +20,7 @@
 const leaseWarmUp = maxPollInterval + minPollInterval
 
 func (t *transition) inForceSettings() inforce.Settings {
-	return inforce.Settings{KeyLease: t.requests.KeyLease(), Within: t.settings.InForce, WarmUp: leaseWarmUp}
+	return inforce.Settings{KeyLease: t.requests.KeyLease(), Within: t.settings.InForceWithin, WarmUp: leaseWarmUp}
 }
 
 func (t *transition) inForceView() inforce.View {
@@ -68,14 +68,14 @@
 	if !t.raft.LeaseHeld(t.now) {
 		return
 	}
-	t.seeded.inForce = t.released(t.seeded.inForce, t.inForceSettings(), NoteInForce)
+	t.seeded.inForce = t.released(t.seeded.inForce, t.inForceSettings(), LogTableInForce)
 	if t.allReplicasKnowZones() {
-		t.seeded.zonesInForce = t.released(t.seeded.zonesInForce, t.zonesSettings(), NoteZonesInForce)
+		t.seeded.zonesInForce = t.released(t.seeded.zonesInForce, t.zonesSettings(), LogZoneOrderInForce)
 	}
 }
 
 // released sends the answers of one kind that need not wait any more.
-func (t *transition) released(s inforce.State, set inforce.Settings, kind NoteKind) inforce.State {
+func (t *transition) released(s inforce.State, set inforce.Settings, kind LogKind) inforce.State {
 	if s.Waiting() == 0 {
 		return s
 	}
--- a/core/host/inforce_test.go
+++ b/core/host/inforce_test.go
@@ -26,7 +26,7 @@
 func (f *seededFleet) submit(at ident.Host, g config.RouteTable) string {
 	f.starts++
 	id := fmt.Sprintf("write-%d", f.starts)
-	f.reduce(at, host.Submitted{
+	f.reduce(at, host.WriteSubmitted{
 		Write:    catalog.Write{ID: id, Command: catalog.Edit{Change: config.PutRouteTable{Gateway: g}}},
 		Deadline: f.now.Add(20 * time.Second),
 	})
--- a/core/host/layout.go
+++ b/core/host/layout.go
@@ -107,17 +107,17 @@
 
 func (t *transition) ownerMoved(p groupPart, owner ident.Host) {
 	if owner == t.settings.ID {
-		g := routing.NewGroup(p.id, t.now).WithChatBound(t.settings.Chats)
+		g := routing.NewGroup(p.id, t.now).WithChatBound(t.settings.MaxChatsPerGroup)
 		if backup, ok := t.backups.Get(p.id.String()); ok {
 			g = g.WithDirectory(backup)
 			t.backups = t.backups.Without(p.id.String())
 		}
 		t.groups = t.groups.With(p.id.String(), g)
-		t.note(NoteOwner, p.id.String(), "taken")
+		t.note(LogGroupOwner, p.id.String(), "taken")
 	} else if g, ok := t.groups.Get(p.id.String()); ok {
 		t.handOverGroup(g, owner)
 		t.groups = t.groups.Without(p.id.String())
-		t.note(NoteOwner, p.id.String(), "given to "+string(owner))
+		t.note(LogGroupOwner, p.id.String(), "given to "+string(owner))
 	}
 	t.reportPermits(p.id, owner)
 	t.requestPermitsAnew(p.id)
--- a/core/host/listedcrashes.go
+++ b/core/host/listedcrashes.go
@@ -36,7 +36,7 @@
 
 // crashVerdict ends such a call.
 func (t *transition) crashVerdict(c call) Verdict {
-	v := Verdict{Outcome: c.combined, Code: CodeCrashes, Reason: requests.CrashReason(c.content)}
+	v := Verdict{Outcome: c.combined, Code: CodeCrashesTargets, Reason: requests.CrashReason(c.content)}
 	if v.Outcome == outcome.NotRun {
 		until, _ := t.requests.CrashList().Refused(c.content, t.now)
 		v.RetryAfter = until.Sub(t.now)
@@ -63,7 +63,7 @@
 
 // targetReported takes a target's load report, or that none came, as a sign of its process.
 // One that first names its start may be the process known before.
-func (t *transition) targetReported(ev Reported) {
+func (t *transition) targetReported(ev LoadReported) {
 	h, _ := t.health.Get(ev.Target)
 	switch {
 	case ev.Refused:
--- a/core/host/listedcrashes_test.go
+++ b/core/host/listedcrashes_test.go
@@ -96,7 +96,7 @@
 
 func (f *listedFleet) start(id ident.Host, cfg config.Config, incarnation uint64) {
 	f.states[id] = host.New(host.Settings{ID: id, Zone: "z0", Serves: true, Incarnation: incarnation}, 1, f.now)
-	f.reduce(id, host.Received{From: "state", Message: host.WholeConfig{Leader: "state", Fresh: true, Document: cfg.Document()}})
+	f.reduce(id, host.MessageReceived{From: "state", Message: host.WholeConfig{Leader: "state", Fresh: true, Document: cfg.Document()}})
 }
 
 func (f *listedFleet) reduce(id ident.Host, ev host.Event) {
@@ -113,7 +113,7 @@
 		case host.Probe:
 			one := f.targets[e.Target.ID]
 			down := !one.backAt.IsZero()
-			f.reduce(id, host.Reported{Target: e.Target.ID, Failed: down, Refused: down, Boot: one.boot, Seq: uint64(f.now.UnixMilli())})
+			f.reduce(id, host.LoadReported{Target: e.Target.ID, Failed: down, Refused: down, Boot: one.boot, Seq: uint64(f.now.UnixMilli())})
 		}
 	}
 }
@@ -152,7 +152,7 @@
 			p := f.wire[0]
 			f.wire = f.wire[1:]
 			if _, known := f.states[p.to]; known && !f.deaf[p.from] && !f.deaf[p.to] {
-				f.reduce(p.to, host.Received{From: p.from, Message: p.message})
+				f.reduce(p.to, host.MessageReceived{From: p.from, Message: p.message})
 			}
 		}
 	}
@@ -189,7 +189,7 @@
 func (f *listedFleet) arrive(at ident.Host, kind string, digest uint64) {
 	f.count++
 	id := ident.Request(fmt.Sprint(kind, f.count))
-	f.reduce(at, host.Arrived{Request: host.Request{
+	f.reduce(at, host.RequestArrived{Request: host.Request{
 		ID: id, KeyHash: keyOf("a"), Service: "floor", Path: "/work", Digest: digest, Deadline: f.now.Add(10 * time.Second),
 	}})
 }
@@ -227,7 +227,7 @@
 	require.LessOrEqual(t, f.sentSince(), maxSentOn, "%d ends in all", len(f.ends))
 	for id, v := range f.verdicts {
 		if id[0] == 'g' {
-			require.NotEqual(t, host.CodeCrashes, v.Code, "%s: %s", id, v.Reason)
+			require.NotEqual(t, host.CodeCrashesTargets, v.Code, "%s: %s", id, v.Reason)
 		}
 	}
 }
@@ -251,7 +251,7 @@
 	}
 	require.Equal(t, sent, len(f.sent))
 	last := f.verdicts[ident.Request(fmt.Sprint("b", f.count))]
-	require.Equal(t, host.CodeCrashes, last.Code)
+	require.Equal(t, host.CodeCrashesTargets, last.Code)
 	require.Equal(t, outcome.NotRun, last.Outcome)
 	require.Positive(t, last.RetryAfter)
 }
--- a/core/host/owner.go
+++ b/core/host/owner.go
@@ -248,7 +248,7 @@
 		return
 	}
 	d, _ := t.backups.Get(key)
-	d.Bound = t.settings.Chats
+	d.Bound = t.settings.MaxChatsPerGroup
 	for _, c := range m.Chats {
 		d = d.With(c.Key, c.Place)
 	}
--- a/core/host/peers.go
+++ b/core/host/peers.go
@@ -46,7 +46,7 @@
 	p.alive = false
 	t.peers = t.peers.With(id, p)
 	t.gatherLoads()
-	t.note(NoteHostDown, string(id), "")
+	t.note(LogHostDown, string(id), "")
 	t.dropRouter(id, 0)
 	t.ownersChanged()
 }
@@ -97,7 +97,7 @@
 	t.takeCrashEntries(from, b.CrashEntries)
 	t.crashesReceived(from, b.Crashes)
 	if !known || !old.alive {
-		t.note(NoteHostUp, string(from), "")
+		t.note(LogHostUp, string(from), "")
 	}
 	if known && b.Incarnation != old.heartbeat.Incarnation {
 		t.dropRouter(from, b.Incarnation)
--- a/core/host/polling.go
+++ b/core/host/polling.go
@@ -149,7 +149,7 @@
 		if ok && !c.lost && t.now.Sub(c.lastReply) > replicaTimeout {
 			c.lost = true
 			t.seeded.contacts = t.seeded.contacts.With(h, c)
-			t.note(NoteReplica, string(h), "lost")
+			t.note(LogReplicaContact, string(h), "lost")
 		}
 	}
 }
@@ -180,7 +180,7 @@
 	if !t.settings.Serves || t.draining || t.seeded.hub.serves {
 		return ""
 	}
-	return t.settings.Relay
+	return t.settings.RelayAddress
 }
 
 // sendPoll numbers a poll and remembers when it was sent.
--- a/core/host/powerloss_test.go
+++ b/core/host/powerloss_test.go
@@ -26,7 +26,7 @@
 				f.run(20 * time.Second)
 				require.True(t, f.put(f.leader(), f.table(1, "k"), 3*time.Second))
 				bad := host.CrashEntry{Content: crashes.ContentOf("halls", []byte("bad")), Ends: crashes.EndsToRefuse}
-				f.reduce(replicaName(0), host.Received{From: entryName(0), Message: host.Poll{
+				f.reduce(replicaName(0), host.MessageReceived{From: entryName(0), Message: host.Poll{
 					Round: 1, Boot: 1 << 40, CrashEntries: []host.CrashEntry{bad},
 				}})
 				f.run(2 * time.Second)
--- a/core/host/read.go
+++ b/core/host/read.go
@@ -24,7 +24,7 @@
 // readResend is the pause before an unanswered request is sent again. Chosen, not measured.
 const readResend = 200 * time.Millisecond
 
-func (t *transition) read(ev Read) {
+func (t *transition) read(ev ReadSubmitted) {
 	t.reads = t.reads.With(ev.ID, pendingRead{deadline: ev.Deadline})
 	t.requestRead(ev.ID)
 }
@@ -68,7 +68,7 @@
 	for id, p := range t.reads.All() {
 		if p.confirmed && t.catalog.Config.Version >= p.version {
 			t.reads = t.reads.Without(id)
-			t.emit(AnswerRead{ID: id, OK: true})
+			t.emit(AnswerRead{ID: id, Current: true})
 		}
 	}
 }
--- a/core/host/registrations.go
+++ b/core/host/registrations.go
@@ -26,7 +26,7 @@
 	next, changed := t.registry.WithHeartbeat(w, t.now)
 	t.registry = next
 	if changed {
-		t.note(NoteWorker, string(w.ID), fmt.Sprintf("pool=%s state=%s seq=%d at=%s cold=%s born=%s before=%s",
+		t.note(LogWorkerRegistration, string(w.ID), fmt.Sprintf("pool=%s state=%s seq=%d at=%s cold=%s born=%s before=%s",
 			w.Pool, w.State, w.Seq, w.Address, w.Cold, w.Born, before.Born))
 	}
 }
@@ -36,7 +36,7 @@
 	next, changed := t.registry.WithGone(id, born, t.now)
 	t.registry = next
 	if changed {
-		t.note(NoteWorker, string(id), fmt.Sprintf("state=gone born=%s", born))
+		t.note(LogWorkerRegistration, string(id), fmt.Sprintf("state=gone born=%s", born))
 	}
 }
 
@@ -83,7 +83,7 @@
 // heartbeatInvalid counts and logs a heartbeat that names no worker to use.
 func (t *transition) heartbeatInvalid(id ident.Target, reason string) {
 	t.counters.HeartbeatsInvalid++
-	t.note(NoteWorker, fmt.Sprintf("%.80q", id), "heartbeat not taken: "+reason)
+	t.note(LogWorkerRegistration, fmt.Sprintf("%.80q", id), "heartbeat not taken: "+reason)
 }
 
 // tickRegistry looks over all registrations and clients now and then, on a replica: which
@@ -93,7 +93,7 @@
 		return
 	}
 	t.seeded.lookedAt = t.now
-	silence := t.settings.SilentAfter
+	silence := t.settings.WorkerTimeout
 	if silence == 0 {
 		silence = defaultWorkerSilence
 	}
--- a/core/host/relay.go
+++ b/core/host/relay.go
@@ -20,7 +20,7 @@
 func (t *transition) heartbeatReceived(w registry.Worker) {
 	if reason := t.invalidReason(w); reason != "" {
 		t.heartbeatInvalid(w.ID, reason)
-		t.answerHeartbeat(HeartbeatAnswer{Invalid: reason})
+		t.answerHeartbeat(HeartbeatAnswer{InvalidReason: reason})
 		return
 	}
 	if t.settings.IsReplica() {
@@ -29,14 +29,14 @@
 			return
 		}
 		t.registerHeartbeat(w)
-		t.answerHeartbeat(HeartbeatAnswer{Taken: true, Relay: relay.For(w, t.seeded.relays)})
+		t.answerHeartbeat(HeartbeatAnswer{Accepted: true, Relay: relay.For(w, t.seeded.relays)})
 		return
 	}
 	taken := t.mayRelay(w)
 	if taken {
 		t.seeded.relay = t.seeded.relay.WithHeartbeats(w)
 	}
-	t.answerHeartbeat(HeartbeatAnswer{Taken: taken})
+	t.answerHeartbeat(HeartbeatAnswer{Accepted: taken})
 }
 
 // deregistrationReceived takes a worker's report that it ends; only replicas do.
@@ -44,7 +44,7 @@
 	gone := registry.Worker{ID: ev.Worker, State: registry.Gone, Born: ev.Born}
 	if err := gone.Check(); err != nil {
 		t.heartbeatInvalid(ev.Worker, err.Error())
-		t.emit(HeartbeatAnswer{Invalid: err.Error()})
+		t.emit(HeartbeatAnswer{InvalidReason: err.Error()})
 		return
 	}
 	// One that is not known is nowhere sent anything; it is remembered where there is room,
@@ -53,19 +53,19 @@
 	if taken && t.registry.HasRoom(ev.Worker) {
 		t.deregister(ev.Worker, ev.Born)
 	}
-	t.emit(HeartbeatAnswer{Taken: taken})
+	t.emit(HeartbeatAnswer{Accepted: taken})
 }
 
 // answerHeartbeat answers a worker and counts the answer.
 func (t *transition) answerHeartbeat(a HeartbeatAnswer) {
 	switch {
-	case a.Invalid != "":
-	case !a.Taken:
+	case a.InvalidReason != "":
+	case !a.Accepted:
 		t.counters.HeartbeatsDeclined++
 	case a.Relay != "":
 		t.counters.HeartbeatsRedirected++
 	}
-	if a.Taken {
+	if a.Accepted {
 		t.counters.Heartbeats++
 	}
 	t.emit(a)
--- a/core/host/relay_test.go
+++ b/core/host/relay_test.go
@@ -59,7 +59,7 @@
 	for i := range manyWorkers {
 		w := f.worker(i, registry.Ready)
 		if relay, ok := f.relay[w.ID]; ok {
-			if f.say(relay, host.HeartbeatReceived{Worker: w}).Taken {
+			if f.say(relay, host.HeartbeatReceived{Worker: w}).Accepted {
 				continue
 			}
 			delete(f.relay, w.ID)
@@ -129,14 +129,14 @@
 	f := startRelayed(t, 2)
 	relay := f.relay[workerName(7)]
 	f.seq++
-	require.False(t, f.say(relay, host.HeartbeatReceived{Worker: f.worker(7, registry.Draining)}).Taken)
-	require.False(t, f.say(relay, host.DeregistrationReceived{Worker: workerName(7)}).Taken)
+	require.False(t, f.say(relay, host.HeartbeatReceived{Worker: f.worker(7, registry.Draining)}).Accepted)
+	require.False(t, f.say(relay, host.DeregistrationReceived{Worker: workerName(7)}).Accepted)
 	moved := f.worker(7, registry.Ready)
 	moved.Address = "10.9.9.9:80"
-	require.False(t, f.say(relay, host.HeartbeatReceived{Worker: moved}).Taken)
+	require.False(t, f.say(relay, host.HeartbeatReceived{Worker: moved}).Accepted)
 	stranger := f.worker(7, registry.Ready)
 	stranger.ID = "stranger"
-	require.True(t, f.say(relay, host.HeartbeatReceived{Worker: stranger}).Taken, "its first word to a replica may be under way")
+	require.True(t, f.say(relay, host.HeartbeatReceived{Worker: stranger}).Accepted, "its first word to a replica may be under way")
 	f.run(3 * time.Second)
 	for i := range 2 {
 		w, ok := f.states[entryName(i)].Requests().Worker("stranger")
@@ -145,11 +145,11 @@
 
 	require.Empty(t, f.say(replicaName(0), host.HeartbeatReceived{Worker: f.worker(7, registry.Draining)}).Relay)
 	f.run(time.Second)
-	require.False(t, f.say(relay, host.HeartbeatReceived{Worker: f.worker(7, registry.Ready)}).Taken, "a leaving worker is no longer known as ready")
+	require.False(t, f.say(relay, host.HeartbeatReceived{Worker: f.worker(7, registry.Ready)}).Accepted, "a leaving worker is no longer known as ready")
 
 	f.cutOff(relay, true)
 	f.run(4 * time.Second)
-	require.False(t, f.say(relay, host.HeartbeatReceived{Worker: f.worker(8, registry.Ready)}).Taken, "a relay that no replica answers")
+	require.False(t, f.say(relay, host.HeartbeatReceived{Worker: f.worker(8, registry.Ready)}).Accepted, "a relay that no replica answers")
 }
 
 // TestFewWorkersAreHeardByReplicas names no relay in a small fleet.
@@ -162,7 +162,7 @@
 	f.run(2 * time.Second)
 	f.beats = nil
 	f.beat(replicaName(0), "w-0", registry.Ready, 2)
-	require.Equal(t, []host.HeartbeatAnswer{{Taken: true}}, f.beats)
+	require.Equal(t, []host.HeartbeatAnswer{{Accepted: true}}, f.beats)
 }
 
 // TestManyRegistrationsGoOutAtABoundedRate has many workers register at
@@ -217,7 +217,7 @@
 		seq++
 		f.beats = nil
 		f.beat(entryName(0), "w1", registry.Ready, seq)
-		if !f.beats[0].Taken {
+		if !f.beats[0].Accepted {
 			sentBack = append(sentBack, f.now)
 		}
 		f.run(1200 * time.Millisecond)
--- a/core/host/repair_test.go
+++ b/core/host/repair_test.go
@@ -24,7 +24,7 @@
 	id := 0
 	write := func(cmd catalog.Command) catalog.Result {
 		id++
-		for _, e := range feed(host.Submitted{Deadline: now.Add(time.Minute), Write: catalog.Write{ID: fmt.Sprint("w", id), Command: cmd}}) {
+		for _, e := range feed(host.WriteSubmitted{Deadline: now.Add(time.Minute), Write: catalog.Write{ID: fmt.Sprint("w", id), Command: cmd}}) {
 			if a, ok := e.(host.AnswerWrite); ok {
 				require.Equal(t, catalog.OK, a.Result.Code, a.Result.Reason)
 				return a.Result
@@ -51,7 +51,7 @@
 		for until := now.Add(d); now.Before(until); {
 			now = now.Add(tickTime)
 			counter++
-			feed(host.Received{From: "h", Message: host.PeerHeartbeat{Beat: host.Heartbeat{Host: "h", Counter: counter, Lost: lost}}})
+			feed(host.MessageReceived{From: "h", Message: host.PeerHeartbeat{Beat: host.Heartbeat{Host: "h", Counter: counter, Lost: lost}}})
 			for _, e := range feed(host.Tick{}) {
 				if o, ok := e.(host.SendOrder); ok {
 					orders = append(orders, o.Order)
@@ -85,7 +85,7 @@
 	id := 0
 	submit := func(cmd catalog.Command) {
 		id++
-		feed(host.Submitted{Deadline: now.Add(time.Minute), Write: catalog.Write{ID: fmt.Sprint("w", id), Command: cmd}})
+		feed(host.WriteSubmitted{Deadline: now.Add(time.Minute), Write: catalog.Write{ID: fmt.Sprint("w", id), Command: cmd}})
 	}
 	submit(catalog.Edit{Change: config.PutService{Service: config.Service{ID: service, Kind: config.KindEngine, Multiple: 1.5}}})
 	submit(catalog.Edit{Change: config.PutModel{Model: config.Model{ID: model, Service: service}}})
--- a/core/host/replaced_test.go
+++ b/core/host/replaced_test.go
@@ -58,7 +58,7 @@
 	for _, late := range []host.ReplacedWorker{
 		{Worker: "w1", Born: bornFirst, Age: time.Second}, {Worker: "w1", Born: bornFirst - 1}, {Worker: "unknown"},
 	} {
-		f.reduce(replicaName(0), host.Received{From: entryName(0), Message: host.Poll{
+		f.reduce(replicaName(0), host.MessageReceived{From: entryName(0), Message: host.Poll{
 			Round: 1, Boot: 1 << 40, Replaced: []host.ReplacedWorker{late},
 		}})
 		known, _ := f.states[replicaName(0)].Registry().Get(ident.Target("w1"))
--- a/core/host/replica.go
+++ b/core/host/replica.go
@@ -65,7 +65,7 @@
 	t.origins = table.Table[string, ident.Host]{}
 	t.seeded.inForce = t.seeded.inForce.WithoutAnswers()
 	t.seeded.zonesInForce = t.seeded.zonesInForce.WithoutAnswers()
-	t.note(NoteRole, string(t.settings.ID), fmt.Sprintf("%s term=%d leader=%s", e.Role, e.Term, e.Leader))
+	t.note(LogReplicaRole, string(t.settings.ID), fmt.Sprintf("%s term=%d leader=%s", e.Role, e.Term, e.Leader))
 }
 
 func (t *transition) applyEntries(entries []raft.Entry) {
@@ -127,7 +127,7 @@
 	t.zonesCommitted(zonesBefore)
 	t.seeded.inForce = t.seeded.inForce.WithCommit(t.now)
 	t.useConfig(c.Config)
-	t.note(NoteStateLoad, string(t.settings.ID), fmt.Sprintf("index=%d version=%d", s.Index, c.Config.Version))
+	t.note(LogStateRestored, string(t.settings.ID), fmt.Sprintf("index=%d version=%d", s.Index, c.Config.Version))
 }
 
 const (
--- a/core/host/retry.go
+++ b/core/host/retry.go
@@ -66,8 +66,8 @@
 		t.retry(c, Verdict{Code: CodeOverloaded, Reason: "the target declined: " + r.Reason}, 0)
 	case outcome.Broken:
 		t.targetBroke(c, r)
-		v := Verdict{Code: CodeBroken, Reason: "the target's answer broke off: " + r.Reason}
-		if c.req.Once || r.Begun {
+		v := Verdict{Code: CodeTargetFailed, Reason: "the target's answer broke off: " + r.Reason}
+		if c.req.AtMostOnce || r.Begun {
 			v.Outcome = c.combined
 			t.finish(c, v)
 			return
@@ -114,7 +114,7 @@
 	case outcome.Declined:
 		if a.RetryAfter > 0 {
 			h = h.WithBackoff(a.RetryAfter, t.now)
-			t.note(NoteTarget, string(id), fmt.Sprintf("declined, requested a backoff of %s", a.RetryAfter))
+			t.note(LogTargetHealth, string(id), fmt.Sprintf("declined, requested a backoff of %s", a.RetryAfter))
 		}
 		if a.Leaving {
 			h = h.WithLeaving(true, t.now)
--- a/core/host/seeded_test.go
+++ b/core/host/seeded_test.go
@@ -139,18 +139,18 @@
 	if d != nil {
 		s.Identity = d.identity
 	} else {
-		s.Relay = "relay at " + string(id)
+		s.RelayAddress = "relay at " + string(id)
 	}
 	state := host.New(s, 7, f.now)
 	if d != nil {
 		var err error
-		state, err = state.WithReplica(d.boot, f.now)
+		state, err = state.WithReplicaState(d.boot, f.now)
 		require.NoError(f.t, err)
 		aged := slices.Clone(d.crashes)
 		for i := range aged {
 			aged[i].Age += f.now.Sub(d.keptAt)
 		}
-		state = state.WithCrashes(aged, f.now)
+		state = state.WithCrashList(aged, f.now)
 	}
 	f.states[id], f.down[id] = state, false
 }
@@ -186,12 +186,12 @@
 				f.wire = append(f.wire, seededPacket{id, to, m})
 			}
 			f.reduce(id, host.EntriesPersisted{Persisted: raft.Persisted{Index: e.Persist.Index, Term: e.Persist.Term}})
-		case host.KeepCrashes:
+		case host.PersistCrashes:
 			f.disks[id].crashes, f.disks[id].keptAt = e.Entries, f.now
 		case host.AnswerWrite:
 			f.writes[e.ID] = e
 		case host.AnswerRead:
-			f.reads[e.ID] = e.OK
+			f.reads[e.ID] = e.Current
 		case host.RequestDecision:
 			f.decided = append(f.decided, e.Decision)
 			if f.decision != nil {
@@ -243,7 +243,7 @@
 	if f.seen != nil {
 		f.seen(p)
 	}
-	f.reduce(p.to, host.Received{From: p.from, Message: p.message})
+	f.reduce(p.to, host.MessageReceived{From: p.from, Message: p.message})
 }
 
 // release delivers what was held up until now.
@@ -288,7 +288,7 @@
 func (f *seededFleet) put(at ident.Host, g config.RouteTable, limit time.Duration) bool {
 	f.starts++
 	id := fmt.Sprintf("write-%d", f.starts)
-	f.reduce(at, host.Submitted{
+	f.reduce(at, host.WriteSubmitted{
 		Write:    catalog.Write{ID: id, Command: catalog.Edit{Change: config.PutRouteTable{Gateway: g}}},
 		Deadline: f.now.Add(limit),
 	})
@@ -480,15 +480,15 @@
 	f.run(5 * time.Second)
 	old := f.leader()
 	require.True(t, f.put(old, f.table(1, "k"), time.Second))
-	f.reduce(replicaName(0), host.Read{ID: "first", Deadline: f.now.Add(time.Second)})
+	f.reduce(replicaName(0), host.ReadSubmitted{ID: "first", Deadline: f.now.Add(time.Second)})
 	f.run(300 * time.Millisecond)
 	require.True(t, f.reads["first"])
 	f.cutOff(old, true)
 	f.run(4 * time.Second)
 	leader := f.leader()
 	require.True(t, f.put(leader, f.table(2, "k"), time.Second))
-	f.reduce(old, host.Read{ID: "stale", Deadline: f.now.Add(time.Second)})
-	f.reduce(leader, host.Read{ID: "new", Deadline: f.now.Add(time.Second)})
+	f.reduce(old, host.ReadSubmitted{ID: "stale", Deadline: f.now.Add(time.Second)})
+	f.reduce(leader, host.ReadSubmitted{ID: "new", Deadline: f.now.Add(time.Second)})
 	f.run(1500 * time.Millisecond)
 	require.False(t, f.reads["stale"])
 	require.True(t, f.reads["new"])
@@ -596,7 +596,7 @@
 		}
 	}
 	before := f.states[leader].Raft().Log().Last()
-	f.reduce(leader, host.Submitted{
+	f.reduce(leader, host.WriteSubmitted{
 		Write:    catalog.Write{ID: "own", Command: catalog.Edit{Change: config.PutRouteTable{Gateway: f.table(1, "k")}}},
 		Deadline: f.now.Add(5 * time.Second),
 	})
--- a/core/host/settings.go
+++ b/core/host/settings.go
@@ -28,8 +28,8 @@
 	Raft raft.Options
 	// Incarnation grows with each start of this process.
 	Incarnation uint64
-	// Chats bounds the chats remembered per group; 0 is the default.
-	Chats int
+	// MaxChatsPerGroup bounds the chats remembered per group; 0 is the default.
+	MaxChatsPerGroup int
 	// Seeds are peer addresses at which replicas can be found, in a fleet whose
 	// replicas are not listed. There a host's ID is its peer address.
 	Seeds []ident.Host
@@ -37,17 +37,17 @@
 	Identity ident.Host
 	// Voters is how many replicas shall vote in a seeded fleet.
 	Voters int
-	// SilentAfter is how long a registered worker may be silent; 0 is the default.
-	SilentAfter time.Duration
-	// Relay is the ip:port at which this host takes workers' heartbeats for the
+	// WorkerTimeout is how long a registered worker may be silent; 0 is the default.
+	WorkerTimeout time.Duration
+	// RelayAddress is the ip:port at which this host takes workers' heartbeats for the
 	// replicas; empty for none.
-	Relay string
+	RelayAddress string
 	// HubsAbove is the number of entry hosts above which a replica names hubs; 0 is
 	// the default.
 	HubsAbove int
-	// InForce is how long after its acknowledgement a route table is in force
+	// InForceWithin is how long after its acknowledgement a route table is in force
 	// everywhere; 0 is the default.
-	InForce time.Duration
+	InForceWithin time.Duration
 	// Requests are the bounds of the route table's requests.
 	Requests requests.Settings
 }
--- a/core/host/table_test.go
+++ b/core/host/table_test.go
@@ -68,7 +68,7 @@
 		number uint64
 	}{"lower": {leader, 5}, "higher": {f.follower(), 6}} {
 		g := largeTable(t, race.number, 40+int(race.number))
-		f.reduce(race.at, host.Submitted{
+		f.reduce(race.at, host.WriteSubmitted{
 			Write:    catalog.Write{ID: id, Command: catalog.Edit{Change: config.PutRouteTable{Gateway: g}}},
 			Deadline: f.now.Add(5 * time.Second),
 		})
@@ -119,7 +119,7 @@
 	for i := range changes {
 		g := largeTable(t, uint64(2+i), 800)
 		g.Routes[i].MaxAttempts = 9
-		f.reduce(replicaName(i%3), host.Submitted{
+		f.reduce(replicaName(i%3), host.WriteSubmitted{
 			Write:    catalog.Write{ID: fmt.Sprint("storm-", i), Command: catalog.Edit{Change: config.PutRouteTable{Gateway: withSource(t, g)}}},
 			Deadline: f.now.Add(5 * time.Second),
 		})
@@ -166,7 +166,7 @@
 		number++
 		next := tables[number%2]
 		next.Number = number
-		f.reduce(id, host.Submitted{
+		f.reduce(id, host.WriteSubmitted{
 			Write:    catalog.Write{ID: "w", Command: catalog.Edit{Change: config.PutRouteTable{Gateway: next}}},
 			Deadline: f.now.Add(time.Minute),
 		})
--- a/core/host/targets.go
+++ b/core/host/targets.go
@@ -45,7 +45,7 @@
 	return slices.ContainsFunc(t.bound(id).Others, func(l routing.GroupLoad) bool { return l.Usable > 0 })
 }
 
-func (t *transition) reported(ev Reported) {
+func (t *transition) reported(ev LoadReported) {
 	t.targetReported(ev)
 	h, _ := t.health.Get(ev.Target)
 	wasUsable := h.Usable(t.now)
@@ -100,7 +100,7 @@
 	if h.Ejected(t.now) {
 		t.counters.Ejections++
 	}
-	t.note(NoteTarget, string(id), fmt.Sprintf("usable=%t leaving=%t failures=%d", usable, h.IsLeaving(t.now), h.Failures))
+	t.note(LogTargetHealth, string(id), fmt.Sprintf("usable=%t leaving=%t failures=%d", usable, h.IsLeaving(t.now), h.Failures))
 	gid, ok := t.layout.groupOf[id]
 	if !ok || !t.groups.Has(gid.String()) {
 		return
--- a/core/host/world_test.go
+++ b/core/host/world_test.go
@@ -220,7 +220,7 @@
 		ID: hostName(i), Zone: zone(i % p.zones), Serves: true, Incarnation: uint64(w.now.UnixNano()),
 		Replicas: []config.Host{{ID: "state", Address: "127.0.0.1:1"}},
 	}, uint64(i), w.now)
-	s, _ = host.Reduce(s, host.Received{From: "state", Message: host.WholeConfig{
+	s, _ = host.Reduce(s, host.MessageReceived{From: "state", Message: host.WholeConfig{
 		Leader: "state", Fresh: true, Document: w.cfg.Document(),
 	}}, w.now)
 	return s
@@ -253,7 +253,7 @@
 			from := hostName(i)
 			w.after(hop, func() {
 				if !w.down[to] {
-					w.reduce(to, host.Received{From: from, Message: e.Message})
+					w.reduce(to, host.MessageReceived{From: from, Message: e.Message})
 				}
 			})
 		}
@@ -274,7 +274,7 @@
 	case host.Probe:
 		en := w.engines[e.Target.ID]
 		en.seq++
-		r := host.Reported{Target: e.Target.ID, Failed: !en.up, Boot: en.boot, Seq: en.seq, InFlight: en.lagged(w.lag)}
+		r := host.LoadReported{Target: e.Target.ID, Failed: !en.up, Boot: en.boot, Seq: en.seq, InFlight: en.lagged(w.lag)}
 		w.after(hop, func() { w.reduce(i, r) })
 	}
 }
@@ -448,7 +448,7 @@
 	if j.rank == 0 {
 		class = "urgent"
 	}
-	w.reduce(j.router, host.Arrived{Request: host.Request{
+	w.reduce(j.router, host.RequestArrived{Request: host.Request{
 		ID: j.id, KeyHash: keyOf(fmt.Sprintf("account-%d", account)), Model: model, Chat: j.chat, Class: class,
 		Work: int64(j.tokens), Deadline: w.now.Add(2 * time.Minute),
 	}})
--- a/core/host/write.go
+++ b/core/host/write.go
@@ -154,7 +154,7 @@
 	}
 	w, err := catalog.DecodeWrite(m.Packed)
 	if err != nil {
-		t.note(NoteStateLoad, m.ID, "a forwarded write cannot be read: "+err.Error())
+		t.note(LogStateRestored, m.ID, "a forwarded write cannot be read: "+err.Error())
 		return
 	}
 	t.origins = t.origins.With(w.ID, from)
--- a/core/host/zones.go
+++ b/core/host/zones.go
@@ -38,8 +38,8 @@
 	return s.seeded.zones
 }
 
-// Zones are the drained zones as this host knows them.
-func (s State) Zones() zones.Drained { return s.heldZones() }
+// DrainedZones are the drained zones as this host knows them.
+func (s State) DrainedZones() zones.Drained { return s.heldZones() }
 
 // takeZones serves by the drained zones that another host sent, where these are newer.
 func (t *transition) takeZones(from ident.Host, sent zones.Drained) {
@@ -64,7 +64,7 @@
 // noteZones logs the orders after a revision.
 func (t *transition) noteZones(before uint64, from string) {
 	for _, o := range t.heldZones().Since(before) {
-		t.note(NoteZoneOrder, string(o.Zone), fmt.Sprintf("drained=%t revision=%d before=%d by=%s", o.Drained, o.Revision, before, from))
+		t.note(LogZoneOrder, string(o.Zone), fmt.Sprintf("drained=%t revision=%d before=%d by=%s", o.Drained, o.Revision, before, from))
 	}
 }
 
--- a/core/host/zones_test.go
+++ b/core/host/zones_test.go
@@ -25,7 +25,7 @@
 func (f *seededFleet) orderZone(at ident.Host, zone ident.Zone, drained bool) string {
 	f.starts++
 	id := fmt.Sprintf("order-%d", f.starts)
-	f.reduce(at, host.Submitted{
+	f.reduce(at, host.WriteSubmitted{
 		Write:    catalog.Write{ID: id, Remember: true, Command: catalog.ChangeZone{Change: zones.Change{Zone: zone, Drained: drained}}},
 		Deadline: f.now.Add(20 * time.Second),
 	})
@@ -74,7 +74,7 @@
 				t.Logf("drained=%t after %s", drained, took)
 				require.Less(t, took, time.Second)
 				for i := range entries {
-					require.Equal(t, drained, f.states[entryName(i)].Zones().Has("hall-b"))
+					require.Equal(t, drained, f.states[entryName(i)].DrainedZones().Has("hall-b"))
 				}
 			}
 		})
@@ -360,7 +360,7 @@
 				}
 				if leader := f.leader(); leader != "" {
 					history = append(history, porcupine.Operation{
-						ClientId: len(history), Input: zoneInput{read: true}, Output: f.states[leader].Zones().Has("hall-b"), Call: at(), Return: at() + 1,
+						ClientId: len(history), Input: zoneInput{read: true}, Output: f.states[leader].DrainedZones().Has("hall-b"), Call: at(), Return: at() + 1,
 					})
 				}
 			}
--- a/daemon/calls.go
+++ b/daemon/calls.go
@@ -30,7 +30,7 @@
 	l.mu.Lock()
 	l.calls[r.ID] = ch
 	l.mu.Unlock()
-	l.post(host.Arrived{Request: r})
+	l.post(host.RequestArrived{Request: r})
 	return ch
 }
 
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -92,12 +92,12 @@
 	}
 	state := host.New(hs, incarnation, clock.Now())
 	if log != nil {
-		if state, err = state.WithReplica(boot, clock.Now()); err != nil {
+		if state, err = state.WithReplicaState(boot, clock.Now()); err != nil {
 			return nil, errors.Wrap(err, "read replicated state")
 		}
 	}
 	if log != nil {
-		state = state.WithCrashes(keptCrashes(s.Host.Data, o.Log, time.Now()), clock.Now())
+		state = state.WithCrashList(keptCrashes(s.Host.Data, o.Log, time.Now()), clock.Now())
 	}
 	d.loop = newLoop(state, o.Log, d.pool, d.targets)
 	if log != nil {
@@ -107,7 +107,7 @@
 		})
 	}
 	d.server = peers.NewServer(popts, func(from ident.Host, m host.Message) {
-		d.loop.post(host.Received{From: from, Message: m})
+		d.loop.post(host.MessageReceived{From: from, Message: m})
 	})
 	d.metrics = newMetrics(d)
 	return d, d.listen()
@@ -118,9 +118,9 @@
 	hs := host.Settings{
 		ID: s.ID(), Zone: ident.Zone(s.Host.Zone), Address: s.Peer.Address(), Serves: s.Serves(),
 		Replicas: s.Replicas.Hosts(), Neighbours: s.Neighbors.Hosts(), Raft: o.Raft,
-		Incarnation: incarnation, Chats: s.Host.Chats, Seeds: s.SeedHosts(), Voters: 2*s.Replicas.Losses + 1,
-		SilentAfter: host.WorkerSilence(s.Gateway.Heartbeat), Requests: gatewaySettings(s), Relay: s.Gateway.Relay,
-		HubsAbove: s.Replicas.HubsAbove, InForce: min(s.Gateway.InForce, s.Gateway.Revoke),
+		Incarnation: incarnation, MaxChatsPerGroup: s.Host.Chats, Seeds: s.SeedHosts(), Voters: 2*s.Replicas.Losses + 1,
+		WorkerTimeout: host.WorkerSilence(s.Gateway.Heartbeat), Requests: gatewaySettings(s), RelayAddress: s.Gateway.Relay,
+		HubsAbove: s.Replicas.HubsAbove, InForceWithin: min(s.Gateway.InForce, s.Gateway.Revoke),
 	}
 	if s.Seeded() {
 		hs.Raft = host.SeededRaft(o.Raft)
--- a/daemon/effects.go
+++ b/daemon/effects.go
@@ -17,7 +17,7 @@
 		l.pool.Send(e.To, e.Message)
 	case host.Persist:
 		l.disk.queue(e.Persist)
-	case host.KeepCrashes:
+	case host.PersistCrashes:
 		l.crashes.keep(e.Entries, time.Now())
 	case host.Dispatch:
 		l.toCall(e.Request, e, false)
@@ -29,11 +29,11 @@
 		go l.order(ctx, e)
 	case host.AnswerWrite:
 		l.answerWrite(e)
-	case host.Note:
+	case host.LogRecord:
 		l.notes.observe(e)
-	case host.LookUp:
+	case host.LookUpAnswer:
 		l.lookUp(e)
-	case host.KnowHosts:
+	case host.UpdateHostAddresses:
 		l.pool.Know(e.Hosts)
 	case host.AnswerRead:
 		l.answerRead(e)
@@ -41,11 +41,11 @@
 }
 
 // lookUp sends a kept answer to the host that asked for it.
-func (l *loop) lookUp(e host.LookUp) {
+func (l *loop) lookUp(e host.LookUpAnswer) {
 	m := host.AnswerOf{For: e.For, Answer: l.answers.Get(e.Request)}
 	if self := l.state.Load().ID(); e.To == self {
 		// The loop cannot wait for itself.
-		go l.post(host.Received{From: self, Message: m})
+		go l.post(host.MessageReceived{From: self, Message: m})
 		return
 	}
 	l.pool.Send(e.To, m)
@@ -56,7 +56,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	l.post(host.Reported{
+	l.post(host.LoadReported{
 		Target: t.ID, Failed: err != nil, Refused: targets.IsRefused(err), Boot: load.Boot, Seq: load.Seq, InFlight: load.InFlight, Leaving: load.Leaving,
 	})
 }
--- a/daemon/forms_test.go
+++ b/daemon/forms_test.go
@@ -109,7 +109,7 @@
 	o := fullObservation()
 	o.Tries = nil
 	lines.observe(o)
-	newNoteLog(l.logger()).observe(host.Note{Kind: host.NoteWorker, Object: "w", Detail: "d"})
+	newNoteLog(l.logger()).observe(host.LogRecord{Kind: host.LogWorkerRegistration, Object: "w", Detail: "d"})
 	requireGolden(t, "lines.golden", l.lines)
 }
 
@@ -129,11 +129,11 @@
 		requests.CodeOverloaded, requests.CodeBroken, requests.CodeDeadline, requests.CodeCallerGone,
 		requests.CodeCrashes,
 	}
-	notes := []host.NoteKind{
-		host.NoteRole, host.NoteConfig, host.NoteHostUp, host.NoteHostDown, host.NoteOwner, host.NoteTarget,
-		host.NoteReady, host.NoteDrain, host.NoteFallback, host.NoteStateLoad, host.NoteMembers, host.NoteWorker,
-		host.NoteReplica, host.NoteHub, host.NoteZone, host.NoteInForce,
-		host.NoteCrashes,
+	notes := []host.LogKind{
+		host.LogReplicaRole, host.LogConfiguration, host.LogHostUp, host.LogHostDown, host.LogGroupOwner, host.LogTargetHealth,
+		host.LogReady, host.LogDraining, host.LogOwnerUnreachable, host.LogStateRestored, host.LogReplicaMembership, host.LogWorkerRegistration,
+		host.LogReplicaContact, host.LogHub, host.LogZoneContact, host.LogTableInForce,
+		host.LogCrashes,
 	}
 	outcomes := []outcome.Kind{outcome.Ran, outcome.NotRun, outcome.Unknown}
 	lines := slices.Concat(named("code", codes), named("note", notes), named("outcome", outcomes))
--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -105,6 +105,6 @@
 // found.
 func (d *Daemon) Reload(s settings.Settings) {
 	if s.Seeded() {
-		d.loop.Post(host.Reseeded{Seeds: s.SeedHosts()})
+		d.loop.Post(host.SeedsChanged{Seeds: s.SeedHosts()})
 	}
 }
--- a/daemon/notelog.go
+++ b/daemon/notelog.go
@@ -27,8 +27,8 @@
 	return &noteLog{log: log, now: time.Now, workers: logs.Budget{PerSecond: workerLines}}
 }
 
-func (l *noteLog) observe(n host.Note) {
-	if n.Kind == host.NoteWorker {
+func (l *noteLog) observe(n host.LogRecord) {
+	if n.Kind == host.LogWorkerRegistration {
 		ok, skipped := l.workers.Allow(l.now())
 		if skipped > 0 {
 			l.log.Info("worker lines skipped", "lines", skipped)
--- a/daemon/pacedserver_test.go
+++ b/daemon/pacedserver_test.go
@@ -84,13 +84,13 @@
 	now := time.Unix(100, 0)
 	l.now = func() time.Time { return now }
 	for range 1000 {
-		l.observe(host.Note{Kind: host.NoteWorker, Object: "w"})
+		l.observe(host.LogRecord{Kind: host.LogWorkerRegistration, Object: "w"})
 	}
-	l.observe(host.Note{Kind: host.NoteRole, Object: "r"})
+	l.observe(host.LogRecord{Kind: host.LogReplicaRole, Object: "r"})
 	require.Equal(t, workerLines+1, lines)
 	require.Contains(t, last, "replica role")
 	now = now.Add(time.Second)
-	l.observe(host.Note{Kind: host.NoteWorker, Object: "w"})
+	l.observe(host.LogRecord{Kind: host.LogWorkerRegistration, Object: "w"})
 	require.Equal(t, workerLines+3, lines)
 }
 
--- a/daemon/ports.go
+++ b/daemon/ports.go
@@ -116,7 +116,7 @@
 	reader := listing.NewReader(s.URL, s.File)
 	ctx, cancel := context.WithCancel(ctx)
 	g.Add(func() error {
-		reader.Run(ctx, s.Interval, func(list []host.ListedTarget) { d.loop.post(host.Listed{Targets: list}) },
+		reader.Run(ctx, s.Interval, func(list []host.ListedTarget) { d.loop.post(host.TargetsListed{Targets: list}) },
 			func(err error) { d.options.Log.Error(err, "platform list cannot be read") })
 		return nil
 	}, func(error) { cancel() })
--- a/daemon/writes.go
+++ b/daemon/writes.go
@@ -30,7 +30,7 @@
 		delete(l.reads, id)
 		l.mu.Unlock()
 	}()
-	l.reduce(ctx, host.Read{ID: id, Deadline: l.now().Add(limit)})
+	l.reduce(ctx, host.ReadSubmitted{ID: id, Deadline: l.now().Add(limit)})
 	select {
 	case ok := <-ch:
 		return ok
@@ -45,7 +45,7 @@
 	ch, ok := l.reads[e.ID]
 	l.mu.Unlock()
 	if ok {
-		ch <- e.OK
+		ch <- e.Current
 	}
 }
 
@@ -56,7 +56,7 @@
 	l.mu.Lock()
 	l.writes[w.ID] = ch
 	l.mu.Unlock()
-	l.reduce(ctx, host.Submitted{Write: w, Deadline: l.now().Add(limit)})
+	l.reduce(ctx, host.WriteSubmitted{Write: w, Deadline: l.now().Add(limit)})
 	select {
 	case a := <-ch:
 		return a.result, a.known
