--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -37,7 +37,7 @@
 	return requests.Settings{
 		Host: s.ID(), Zone: ident.Zone(s.Host.Zone), KeyLease: g.KeyLease, ZoneDrain: g.ZoneDrain,
 		RetryShare: settings.Number(g.RetryShare), RetryExtra: settings.Number(g.RetryExtra),
-		LoadFactor: settings.Number(g.LoadFactor), StartTime: host.StartTime(),
+		LoadFactor: settings.Number(g.LoadFactor), StartTime: host.MaxStartupTime(),
 	}
 }
 
@@ -105,6 +105,6 @@
 // found.
 func (d *Daemon) Reload(s settings.Settings) {
 	if s.Seeded() {
-		d.loop.Post(host.Reseeded{Seeds: s.SeedHosts()})
+		d.loop.Post(host.SeedsChanged{Seeds: s.SeedHosts()})
 	}
 }
