--- a/targets/contract.go
+++ b/targets/contract.go
@@ -27,10 +27,10 @@
 	// value is DeclinedLeaving or another reason.
 	HeaderDeclined  = "X-Yardhall-Declined"
 	DeclinedLeaving = "leaving"
-	// HeaderCachedTokens and HeaderPrompt are the prompt's tokens, from the cache
+	// HeaderCached and HeaderPrompt are the prompt's tokens, from the cache
 	// and in all.
-	HeaderCachedTokens = "X-Yardhall-Cached-Tokens"
-	HeaderPromptTokens = "X-Yardhall-Prompt-Tokens"
+	HeaderCached = "X-Yardhall-Cached-Tokens"
+	HeaderPrompt = "X-Yardhall-Prompt-Tokens"
 )
 
 // Paths of the target contract.
--- a/targets/exchange.go
+++ b/targets/exchange.go
@@ -119,8 +119,8 @@
 func answered(resp *http.Response) outcome.Answered {
 	return outcome.Answered{
 		Status:       resp.StatusCode,
-		CachedTokens: number(resp.Header.Get(HeaderCachedTokens)),
-		PromptTokens: number(resp.Header.Get(HeaderPromptTokens)),
+		CachedTokens: number(resp.Header.Get(HeaderCached)),
+		PromptTokens: number(resp.Header.Get(HeaderPrompt)),
 	}
 }
 
