--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -11,36 +11,37 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// finish answers the caller.
+// finish reports the request to the observer and completes the HTTP response.
 func (c *serverCall) finish(v requests.Verdict) {
 	c.observed.Verdict = v
-	c.observed.Duration = c.server.now().Sub(c.begun)
-	if !c.relay.first.IsZero() {
-		c.observed.TimeToFirstByte = c.relay.first.Sub(c.begun)
+	c.observed.Duration = c.server.now().Sub(c.startedAt)
+	if !c.relay.firstWrite.IsZero() {
+		c.observed.TimeToFirstByte = c.relay.firstWrite.Sub(c.startedAt)
 	}
-	c.observed.MaxEventGap = c.relay.pause
+	c.observed.MaxEventGap = c.relay.maxGap
 	c.server.observe(c.observed)
 	switch {
-	case v.Code == requests.CodeOK && c.answer != nil:
-		c.deliver(c.answer)
+	case v.Code == requests.CodeOK && c.response != nil:
+		c.writeResponse(c.response)
 	case v.Code == requests.CodeOK:
-		// The stream has been passed on whole.
-	case c.relay.begun || v.Code == requests.CodeCallerGone:
-		// What was sent must not look complete.
+		// attemptStream has already written the complete stream.
+	case c.relay.headerSent || v.Code == requests.CodeCallerGone:
+		// Abort the connection so that a truncated response does not look complete.
 		panic(http.ErrAbortHandler)
 	default:
-		c.refuse(v)
+		c.writeRefusal(v)
 	}
 }
 
-func (c *serverCall) deliver(a *answer) {
+func (c *serverCall) writeResponse(a *response) {
 	copyHeader(c.writer.Header(), c.server.headers.toCaller(a.header))
 	c.writer.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 	c.writer.WriteHeader(a.status)
-	_, _ = c.writer.Write(a.body) // The worker has answered; a caller that has left changes nothing.
+	_, _ = c.writer.Write(a.body) // The worker ran the request; a failed write does not change its outcome.
 }
 
-// copyHeader copies a worker's headers; what it did not send is not added.
+// copyHeader copies a worker's headers. It sets those that net/http would otherwise add
+// by itself to nil, so that the caller gets only what the worker sent.
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
 		to[name] = values
@@ -52,7 +53,7 @@
 	}
 }
 
-func (c *serverCall) refuse(v requests.Verdict) {
+func (c *serverCall) writeRefusal(v requests.Verdict) {
 	h := c.writer.Header()
 	if v.Elsewhere {
 		h.Set("Connection", "close")
@@ -65,8 +66,8 @@
 	_, _ = io.WriteString(c.writer, string(v.Code)+": "+v.Reason+"\n")
 }
 
-// statusOf maps a verdict to HTTP. 503 promises that the request has not run
-// and never will; 502 and 504 promise nothing.
+// statusOf maps a verdict to an HTTP status. 503 guarantees that the request did not run
+// and never will; 502 and 504 guarantee nothing.
 func statusOf(v requests.Verdict) int {
 	switch {
 	case v.Code == requests.CodeNoRoute:
--- a/gateway/breakoff.go
+++ b/gateway/breakoff.go
@@ -12,55 +12,56 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// breakOffGrace is how long an exchange that is broken off may still read: what its worker
-// sent before it ended has arrived or is on its last hop. Chosen, not measured.
-const breakOffGrace = 50 * time.Millisecond
+// abortGrace is how long an aborted exchange may still read, so that a response that the
+// worker sent before it exited is not lost.
+const abortGrace = 50 * time.Millisecond
 
-// running are the exchanges in progress, by request. The zero value is empty.
-type running struct {
+// exchangeTable holds the exchanges in progress. The zero value is empty.
+type exchangeTable struct {
 	mu        sync.Mutex
-	exchanges map[ident.Request]*exchange
+	byRequest map[ident.Request]*exchange
 }
 
-// begin notes an exchange whose connection is open.
-func (r *running) begin(x *exchange) {
+// add registers an exchange, whose connection must be open.
+func (r *exchangeTable) add(x *exchange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.exchanges == nil {
-		r.exchanges = map[ident.Request]*exchange{}
+	if r.byRequest == nil {
+		r.byRequest = map[ident.Request]*exchange{}
 	}
-	r.exchanges[x.dispatch.Request] = x
+	r.byRequest[x.dispatch.Request] = x
 }
 
-// end forgets an exchange.
-func (r *running) end(x *exchange) {
+// remove removes x, unless another exchange of the same request has replaced it.
+func (r *exchangeTable) remove(x *exchange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.exchanges[x.dispatch.Request] == x {
-		delete(r.exchanges, x.dispatch.Request)
+	if r.byRequest[x.dispatch.Request] == x {
+		delete(r.byRequest, x.dispatch.Request)
 	}
 }
 
-// AbortAttempt ends an attempt whose worker has ended. It does not wait.
+// AbortAttempt ends an attempt whose worker process is gone, after abortGrace. It does not
+// block.
 func (s *Server) AbortAttempt(b requests.BreakOff) {
-	s.running.mu.Lock()
-	defer s.running.mu.Unlock()
-	x := s.running.exchanges[b.Request]
+	s.exchanges.mu.Lock()
+	defer s.exchanges.mu.Unlock()
+	x := s.exchanges.byRequest[b.Request]
 	if x == nil || x.dispatch.Attempt != b.Attempt {
 		return
 	}
 	x.mu.Lock()
-	x.brokenOff = true
+	x.aborted = true
 	x.mu.Unlock()
-	x.boundReads(0)
+	x.setReadTimeout(0)
 }
 
-// errBrokenOff ends an attempt whose worker has ended.
-var errBrokenOff = errors.New("the worker has started again")
+// errWorkerRestarted is the error of an aborted attempt.
+var errWorkerRestarted = errors.New("worker process restarted during the request")
 
-// isBrokenOff tells whether the worker is known to have ended.
-func (x *exchange) isBrokenOff() bool {
+// isAborted reports whether AbortAttempt was called for this exchange.
+func (x *exchange) isAborted() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.brokenOff
+	return x.aborted
 }
--- a/gateway/breakoff_test.go
+++ b/gateway/breakoff_test.go
@@ -12,12 +12,12 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// TestWorkerThatStartedAgainHoldsNoRequest has a worker fall silent after it took a request,
-// as behind a cut, and start again under its id: the caller has its answer long before the
-// deadline, and it does not say that the request did not run.
-func TestWorkerThatStartedAgainHoldsNoRequest(t *testing.T) {
+// TestRestartedWorkerFailsItsRequest guards against a caller that waits until its deadline for
+// a worker process that is gone, and against reporting its request as not run: the worker stops
+// responding and registers with a new incarnation.
+func TestRestartedWorkerFailsItsRequest(t *testing.T) {
 	address, got, _ := silentWorker(t)
-	b := newBench(t, 0)
+	b := newTestbed(t, 0)
 	w := registry.Worker{ID: "w", Pool: "pool", Address: address, Slots: 1, Seq: 1, Born: 1_790_000_000_000}
 	b.core.Decide(requests.Registered{Workers: []registry.Worker{w}})
 	go func() {
@@ -31,5 +31,5 @@
 	}()
 	status, _, _, err := b.call("/unsafe/x", "body")
 	require.NoError(t, err)
-	require.Equal(t, http.StatusBadGateway, status, "what may have run is no promise")
+	require.Equal(t, http.StatusBadGateway, status, "503 would guarantee that the request did not run")
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -13,31 +13,31 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// serverCall is one request in progress.
+// serverCall is one caller's request in progress.
 type serverCall struct {
-	server   *Server
-	writer   http.ResponseWriter
-	request  *http.Request
-	body     []byte
-	begun    time.Time
-	relay    relay
-	answer   *answer
-	observed Observation
+	server    *Server
+	writer    http.ResponseWriter
+	request   *http.Request
+	body      []byte
+	startedAt time.Time
+	relay     eventRelay
+	response  *response
+	observed  Observation
 }
 
-// run follows the core's decisions to the end of the request.
+// run carries out the core's decisions until the request is finished.
 func (c *serverCall) run(req requests.Request) {
 	next := c.server.nextDecision(requests.Arrived{Request: req})
 	for {
 		switch d := next.(type) {
 		case requests.Wait:
 			next = c.server.core.Await(c.request.Context(), d.Request)
-			c.observed.StartupWait = c.server.now().Sub(c.begun)
+			c.observed.StartupWait = c.server.now().Sub(c.startedAt)
 		case requests.Pause:
-			pauseFor(c.request.Context(), d.For)
+			sleep(c.request.Context(), d.For)
 			next = c.server.nextDecision(requests.PauseEnded{Request: d.Request, Wanted: c.request.Context().Err() == nil})
 		case requests.Dispatch:
-			next = c.server.nextDecision(c.try(d))
+			next = c.server.nextDecision(c.attempt(d))
 		case requests.Finish:
 			c.observed.Inputs = d.Inputs
 			c.finish(d.Verdict)
@@ -49,34 +49,34 @@
 	}
 }
 
-// try makes one try and reports how it ended.
-func (c *serverCall) try(d requests.Dispatch) requests.Event {
-	started := c.server.now()
+// attempt sends the request to one worker and returns the event that reports the result.
+func (c *serverCall) attempt(d requests.Dispatch) requests.Event {
+	startedAt := c.server.now()
 	ctx, cancel := context.WithDeadline(c.request.Context(), clock.Real(d.Deadline))
 	defer cancel()
 	x := &exchange{server: c.server, dispatch: d, request: c.request, body: c.body}
-	defer c.server.running.end(x)
+	defer c.server.exchanges.remove(x)
 	var result outcome.Attempt
 	if d.Route.Kind == config.RouteStream {
-		c.answer, result = x.stream(ctx, &c.relay)
+		c.response, result = x.attemptStream(ctx, &c.relay)
 	} else {
-		c.answer, result = x.plain(ctx)
+		c.response, result = x.attemptPlain(ctx)
 	}
-	gone := c.request.Context().Err() != nil || c.relay.failed
+	callerGone := c.request.Context().Err() != nil || c.relay.writeFailed
 	_, answered := result.(outcome.Answered)
-	late := !gone && !answered && !c.server.now().Before(d.Deadline)
-	if late {
-		result = outcome.Broken{Reason: "no whole answer before the deadline", Begun: c.relay.begun}
+	expired := !callerGone && !answered && !c.server.now().Before(d.Deadline)
+	if expired {
+		result = outcome.Broken{Reason: "deadline exceeded before the response was complete", Begun: c.relay.headerSent}
 	}
-	c.observed.Attempts = append(c.observed.Attempts, Attempt{Dispatch: d, Result: result, Duration: c.server.now().Sub(started)})
-	if late {
+	c.observed.Attempts = append(c.observed.Attempts, Attempt{Dispatch: d, Result: result, Duration: c.server.now().Sub(startedAt)})
+	if expired {
 		return requests.Expired{Request: d.Request}
 	}
-	return requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, Wanted: !gone}
+	return requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, Wanted: !callerGone}
 }
 
-// pauseFor waits for a while, or until ctx ends.
-func pauseFor(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx is done.
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
--- a/gateway/declines_test.go
+++ b/gateway/declines_test.go
@@ -14,14 +14,14 @@
 	"github.com/yardhall/yardhall/standin"
 )
 
-// TestWorkerThatBacksOffIsAskedNothing has one of two workers turn a request away. The other
-// one serves all that follows, plain requests and streams, until the time is over.
-func TestWorkerThatBacksOffIsAskedNothing(t *testing.T) {
-	b := newBench(t, 2)
-	turned, other := b.workers[0], b.workers[1]
-	turned.Next(standin.FullForAWhile)
+// TestBackedOffWorkerGetsNoRequests guards against requests and streams to a worker before the
+// backoff that it requested is over; another worker can serve them.
+func TestBackedOffWorkerGetsNoRequests(t *testing.T) {
+	b := newTestbed(t, 2)
+	backedOff, other := b.workers[0], b.workers[1]
+	backedOff.Next(standin.FullForAWhile)
 	until := time.Now().Add(standin.WorkerBackoff)
-	for turned.Asked() == 0 {
+	for backedOff.Asked() == 0 {
 		until = time.Now().Add(standin.WorkerBackoff)
 		_, _, _, err := b.call("/short/x", "body")
 		require.NoError(t, err)
@@ -31,15 +31,15 @@
 		_, _, _, err := b.call(path, "body")
 		require.NoError(t, err)
 	}
-	require.Equal(t, 1, turned.Asked())
+	require.Equal(t, 1, backedOff.Asked())
 	require.Positive(t, len(other.Runs()))
 }
 
-// TestPausingRequestIsNotSentToAWorkerThatBacksOff lets many requests pause that the only
-// worker declined, and the worker ask for a time without requests meanwhile.
-func TestPausingRequestIsNotSentToAWorkerThatBacksOff(t *testing.T) {
+// TestDelayedResendHonorsBackoff guards against resending declined requests, which wait for a
+// delay, to a worker that has requested a backoff in the meantime.
+func TestDelayedResendHonorsBackoff(t *testing.T) {
 	const callers = 8
-	b := newBench(t, 1)
+	b := newTestbed(t, 1)
 	for range callers {
 		b.next(standin.Full)
 	}
@@ -66,16 +66,16 @@
 	for header := range answers {
 		after, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 		require.NoError(t, err)
-		require.Greater(t, after, standin.WorkerBackoff.Seconds()/2, "when the worker wants something")
+		require.Greater(t, after, standin.WorkerBackoff.Seconds()/2, "the advised delay covers the worker's backoff")
 	}
 }
 
-// TestWorkerThatSaysItLeavesIsAskedNothing has one of two workers leave: its answer is delivered
-// whole, and the other one serves all that follows. Once both leave, requests are refused at once.
-func TestWorkerThatSaysItLeavesIsAskedNothing(t *testing.T) {
+// TestLeavingWorkerGetsNoNewRequests guards against requests to a worker that is shutting down,
+// and against losing the response in which it reports that.
+func TestLeavingWorkerGetsNoNewRequests(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/stream/once/x", "/stream/again/x"} {
 		t.Run(path, func(t *testing.T) {
-			b := newBench(t, 2)
+			b := newTestbed(t, 2)
 			leaving, other := b.workers[0], b.workers[1]
 			leaving.Leave()
 			calls := 0
@@ -101,10 +101,10 @@
 	}
 }
 
-// TestBackoffInAnAnswerWithoutIDIsObeyed has something before a worker turn a request away in its
-// name: the answer names no request and does not say that it has not run.
-func TestBackoffInAnAnswerWithoutIDIsObeyed(t *testing.T) {
-	b := newBench(t, 1)
+// TestBackoffInResponseWithoutIDIsHonored guards against ignoring the backoff of an intermediary
+// before a worker, whose 503 carries neither a request id nor the not-run header.
+func TestBackoffInResponseWithoutIDIsHonored(t *testing.T) {
+	b := newTestbed(t, 1)
 	b.next(standin.Overloaded)
 	status, _, _, err := b.call("/unsafe/x", "body")
 	require.NoError(t, err)
--- a/gateway/digest_test.go
+++ b/gateway/digest_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDigestIsThatOfTheSameRequest compares arrivals that differ in headers alone, and in
-// each part that makes another request.
-func TestDigestIsThatOfTheSameRequest(t *testing.T) {
+// TestDigestIdentifiesTheRequest guards against digests that depend on headers, or that are
+// equal for requests that differ in another part.
+func TestDigestIdentifiesTheRequest(t *testing.T) {
 	of := func(method, url, body string, header ...string) string {
 		r := httptest.NewRequest(method, url, nil)
 		for _, name := range header {
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -22,50 +22,51 @@
 )
 
 const (
-	// maxAnswer bounds an answer that is held whole, in bytes. Chosen, not measured.
-	maxAnswer = 16 << 20
-	// maxForeignAnswers bounds the answers to other requests that are read over.
-	maxForeignAnswers = 3
+	// maxResponseBytes bounds the body of a response that is buffered.
+	maxResponseBytes = 16 << 20
+	// maxForeignResponses bounds the responses to other requests, and interim ones, that
+	// are skipped on a connection.
+	maxForeignResponses = 3
 )
 
-// answer is a worker's whole answer to a plain request.
-type answer struct {
+// response is a worker's buffered HTTP response.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// exchange is one try of a request at a worker.
+// exchange is one attempt of a request at a worker.
 type exchange struct {
 	server   *Server
 	dispatch requests.Dispatch
 	request  *http.Request
 	body     []byte
 	conn     *workerConn
-	// sent is when the request had been written.
-	sent time.Time
-	// mu guards brokenOff, which is set once the worker is known to have ended, and the
-	// read deadline that follows from it.
-	mu        sync.Mutex
-	brokenOff bool
+	// sentAt is when the request was completely written.
+	sentAt time.Time
+	// mu guards aborted and the read deadline of conn, which depends on it.
+	mu      sync.Mutex
+	aborted bool
 }
 
-// send writes the request. The error says whether a byte may have left.
+// send writes the request. It returns nil on success, NeverSent if no byte can have reached
+// the worker and Broken otherwise.
 func (x *exchange) send(ctx context.Context, lastEvent string) outcome.Attempt {
 	now := x.server.now()
-	conn, err := x.server.pool.get(ctx, x.dispatch.Worker, now)
+	conn, err := x.server.pool.acquire(ctx, x.dispatch.Worker, now)
 	if err != nil {
-		return outcome.NeverSent{Reason: err.Error(), Silent: isTimeout(err) && ctx.Err() == nil, Refused: isRefused(err)}
+		return outcome.NeverSent{Reason: err.Error(), Silent: isTimeout(err) && ctx.Err() == nil, Refused: isConnRefused(err)}
 	}
 	x.conn = conn
 	left := x.dispatch.Deadline.Sub(x.server.now())
 	if left <= 0 {
 		_ = conn.Close()
-		return outcome.NeverSent{Reason: "no time left"}
+		return outcome.NeverSent{Reason: "deadline exceeded before the request was sent"}
 	}
 	_ = conn.SetDeadline(clock.Real(x.dispatch.Deadline))
-	head := x.head(x.server.headers.toWorker(x.request.Header, x.dispatch, left, lastEvent))
-	x.server.running.begin(x)
+	head := x.encodeHead(x.server.headers.toWorker(x.request.Header, x.dispatch, left, lastEvent))
+	x.server.exchanges.add(x)
 	n, err := conn.Write(append(head, x.body...))
 	if err != nil {
 		_ = conn.Close()
@@ -74,60 +75,62 @@
 		}
 		return outcome.Broken{Reason: err.Error()}
 	}
-	x.sent = x.server.now()
+	x.sentAt = x.server.now()
 	return nil
 }
 
-// errHeaderLate ends an attempt whose answer has not begun, as the request goes to another
-// worker.
-var errHeaderLate = errors.New("no response header within the timeout")
+// errHeaderTimeout is the error of an attempt that was canceled because the response header
+// did not arrive in time and the request goes to another worker.
+var errHeaderTimeout = errors.New("no response header within the timeout")
 
-// awaitHeader waits until the answer begins or the request goes elsewhere.
+// awaitHeader waits for the first byte of the response. It returns an error if the attempt
+// was aborted, or if the header timeout passed and the core cancels the attempt; other read
+// errors are left to the next read.
 func (x *exchange) awaitHeader() error {
 	if x.dispatch.HeaderTimeout == 0 {
 		return nil
 	}
-	x.boundReads(x.dispatch.HeaderTimeout)
+	x.setReadTimeout(x.dispatch.HeaderTimeout)
 	_, err := x.conn.reader.Peek(1)
-	if isTimeout(err) && x.isBrokenOff() {
-		return errBrokenOff
+	if isTimeout(err) && x.isAborted() {
+		return errWorkerRestarted
 	}
-	if isTimeout(err) && x.server.givesUp(x.dispatch, x.server.now().Sub(x.sent)) {
-		return errHeaderLate
+	if isTimeout(err) && x.server.shouldCancel(x.dispatch, x.server.now().Sub(x.sentAt)) {
+		return errHeaderTimeout
 	}
-	x.boundReads(0)
+	x.setReadTimeout(0)
 	return nil
 }
 
-// isTimeout tells whether a connection was not answered in time.
+// isTimeout reports whether a network operation timed out.
 func isTimeout(err error) bool {
 	var n net.Error
 	return errors.As(err, &n) && n.Timeout()
 }
 
-// isRefused tells whether no process listens where a connection was to lead.
-func isRefused(err error) bool { return errors.Is(err, unix.ECONNREFUSED) }
+// isConnRefused reports whether a dial was refused because no process listens there.
+func isConnRefused(err error) bool { return errors.Is(err, unix.ECONNREFUSED) }
 
-// isSilence tells whether nothing came from a worker in the time allowed.
-func isSilence(err error) bool { return errors.Is(err, errHeaderLate) || isTimeout(err) }
+// isResponseTimeout reports whether a worker sent nothing in the time allowed.
+func isResponseTimeout(err error) bool { return errors.Is(err, errHeaderTimeout) || isTimeout(err) }
 
-// boundReads bounds the next reads by d, and in any case by the deadline; where the worker
-// has ended, by what may still be on its way.
-func (x *exchange) boundReads(d time.Duration) {
+// setReadTimeout bounds the next reads by timeout, or by abortGrace once the exchange is
+// aborted, and always by the deadline of the attempt. A timeout of 0 leaves only the deadline.
+func (x *exchange) setReadTimeout(timeout time.Duration) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	by := x.dispatch.Deadline
-	if x.brokenOff {
-		d = breakOffGrace
+	deadline := x.dispatch.Deadline
+	if x.aborted {
+		timeout = abortGrace
 	}
-	if limit := x.server.now().Add(d); d > 0 && limit.Before(by) {
-		by = limit
+	if limit := x.server.now().Add(timeout); timeout > 0 && limit.Before(deadline) {
+		deadline = limit
 	}
-	_ = x.conn.SetReadDeadline(clock.Real(by))
+	_ = x.conn.SetReadDeadline(clock.Real(deadline))
 }
 
-// head writes the request line and headers.
-func (x *exchange) head(h http.Header) []byte {
+// encodeHead returns the request line and headers in HTTP/1.1 format.
+func (x *exchange) encodeHead(h http.Header) []byte {
 	var b bytes.Buffer
 	b.WriteString(x.request.Method + " " + x.request.RequestURI + " HTTP/1.1\r\nHost: " + x.request.Host + "\r\n")
 	if len(x.body) > 0 || x.request.ContentLength != 0 || x.request.Method == http.MethodPost {
@@ -138,63 +141,65 @@
 	return b.Bytes()
 }
 
-// receive reads the head of the answer to this request, passing over answers
-// to others that arrive late.
-func (x *exchange) receive() (*http.Response, error) {
+// readResponse reads the header of the response to this request. It skips interim responses
+// and late responses to other requests.
+func (x *exchange) readResponse() (*http.Response, error) {
 	if err := x.awaitHeader(); err != nil {
 		return nil, err
 	}
-	for range maxForeignAnswers {
+	for range maxForeignResponses {
 		resp, err := http.ReadResponse(x.conn.reader, &http.Request{Method: x.request.Method})
 		if err != nil {
-			return nil, errors.Wrap(err, "read the answer")
+			return nil, errors.Wrap(err, "read response")
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
 		names := x.server.headers
 		id := resp.Header.Get(names.RequestID)
-		if id == string(x.dispatch.Request) || id == "" && notRun(resp, names) {
+		if id == string(x.dispatch.Request) || id == "" && reportsNotRun(resp, names) {
 			return resp, nil
 		}
 		if id == "" {
-			// It answers no request, but says what the worker needs.
+			// The response cannot be matched to a request, but its backoff still counts.
 			x.server.reportHeader(x.dispatch, resp, 0)
-			return nil, errors.New("an answer without id")
+			return nil, errors.New("response without request id")
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswer)); err != nil {
-			return nil, errors.Wrap(err, "read over a late answer")
+		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes)); err != nil {
+			return nil, errors.Wrap(err, "skip late response")
 		}
 	}
-	return nil, errors.New("too many answers to other requests")
+	return nil, errors.New("too many responses to other requests")
 }
 
-// notRun tells whether the worker says that it did not run the request.
-func notRun(resp *http.Response, names Headers) bool {
+// reportsNotRun reports whether the response states that the worker did not run the request.
+func reportsNotRun(resp *http.Response, names Headers) bool {
 	return resp.Header.Get(names.NotRun) != "" || resp.StatusCode == http.StatusMisdirectedRequest
 }
 
-// declined returns the outcome of an answer that says not-run.
-func (x *exchange) declined(resp *http.Response) outcome.Attempt {
+// finishDeclined releases the connection and returns the result of a response that reports
+// the request as not run. Status 421 comes from another process at the worker's address, so
+// that its connection is closed.
+func (x *exchange) finishDeclined(resp *http.Response) outcome.Attempt {
 	misdirected := resp.StatusCode == http.StatusMisdirectedRequest
 	_, err := readBody(resp)
-	x.end(resp, err == nil && !misdirected)
-	said := x.server.headers.notice(resp, x.server.now())
-	return outcome.Declined{Reason: resp.Status, Leaving: misdirected, RetryAfter: max(said.Backoff, said.Reluctance)}
+	x.releaseConn(resp, err == nil && !misdirected)
+	notice := x.server.headers.parseNotice(resp, x.server.now())
+	return outcome.Declined{Reason: resp.Status, Leaving: misdirected, RetryAfter: max(notice.Backoff, notice.Reluctance)}
 }
 
-// end keeps the connection for another request, or closes it.
-func (x *exchange) end(resp *http.Response, whole bool) {
+// releaseConn returns the connection to the pool, or closes it if the worker asked for
+// that or the response was incomplete, unframed or followed by surplus bytes.
+func (x *exchange) releaseConn(resp *http.Response, complete bool) {
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
-	if !whole || resp.Close || !framed || x.conn.reader.Buffered() > 0 {
+	if !complete || resp.Close || !framed || x.conn.reader.Buffered() > 0 {
 		_ = x.conn.Close()
 		return
 	}
-	x.server.pool.put(x.conn, keepAliveTime(resp.Header), x.server.now())
+	x.server.pool.release(x.conn, keepAliveTime(resp.Header), x.server.now())
 }
 
-// keepAliveTime reads how long the worker keeps the connection; 0 where it does
-// not say.
+// keepAliveTime returns the timeout parameter of the Keep-Alive header; 0 if there is none.
 func keepAliveTime(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -206,39 +211,39 @@
 }
 
 func readBody(resp *http.Response) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "read the answer's body")
+		return nil, errors.Wrap(err, "read response body")
 	}
-	if len(body) > maxAnswer {
-		return nil, errors.New("the answer is too long")
+	if len(body) > maxResponseBytes {
+		return nil, errors.New("response body exceeds the size limit")
 	}
 	return body, nil
 }
 
-// plain makes one try of a request whose answer is held whole.
-func (x *exchange) plain(ctx context.Context) (*answer, outcome.Attempt) {
-	if failed := x.send(ctx, ""); failed != nil {
-		return nil, failed
+// attemptPlain makes one attempt and buffers the response.
+func (x *exchange) attemptPlain(ctx context.Context) (*response, outcome.Attempt) {
+	if failure := x.send(ctx, ""); failure != nil {
+		return nil, failure
 	}
 	stop := context.AfterFunc(ctx, func() { _ = x.conn.Close() })
 	defer stop()
-	resp, err := x.receive()
+	resp, err := x.readResponse()
 	if err != nil {
 		_ = x.conn.Close()
-		return nil, outcome.Broken{Reason: err.Error(), Silent: isSilence(err)}
+		return nil, outcome.Broken{Reason: err.Error(), Silent: isResponseTimeout(err)}
 	}
-	x.server.reportHeader(x.dispatch, resp, x.server.now().Sub(x.sent))
-	if notRun(resp, x.server.headers) {
-		return nil, x.declined(resp)
+	x.server.reportHeader(x.dispatch, resp, x.server.now().Sub(x.sentAt))
+	if reportsNotRun(resp, x.server.headers) {
+		return nil, x.finishDeclined(resp)
 	}
 	body, err := readBody(resp)
-	x.end(resp, err == nil)
+	x.releaseConn(resp, err == nil)
 	if err != nil {
 		return nil, outcome.Broken{Reason: err.Error()}
 	}
 	if resp.Header.Get(x.server.headers.Signature) == "" || resp.Header.Get("Content-Encoding") != "" {
-		return nil, outcome.Broken{Reason: "the answer is not signed by a worker"}
+		return nil, outcome.Broken{Reason: "response without a worker's signature"}
 	}
-	return &answer{status: resp.StatusCode, header: resp.Header, body: body}, outcome.Answered{Status: resp.StatusCode}
+	return &response{status: resp.StatusCode, header: resp.Header, body: body}, outcome.Answered{Status: resp.StatusCode}
 }
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -16,43 +16,44 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// Headers names the headers by which callers, hosts and workers speak. Each
-// platform may have names of its own; what they carry is the same.
+// Headers holds the names of the HTTP headers that callers, hosts and workers exchange. The
+// names depend on the platform, their values do not.
 type Headers struct {
-	// RequestID identifies one try of a caller; workers repeat it.
+	// RequestID identifies one request of a caller; workers echo it in the response.
 	RequestID string
-	// DeadlineMs is how long the caller waits, in whole milliseconds.
+	// DeadlineMs is how long the caller waits, in milliseconds.
 	DeadlineMs string
-	// Model, Tokens (IN,OUT) and Parts (ID:TOKENS, joined by commas) describe a
-	// prompt.
+	// Model, Tokens (IN,OUT) and PromptParts (ID:TOKENS,...) describe a prompt.
 	Model       string
 	Tokens      string
 	PromptParts string
-	// LastEventID is the id of the last event of a stream that is gone on with.
+	// LastEventID is the id of the last event received of a stream that is resumed.
 	LastEventID string
-	// Account tells a worker for whom it works.
+	// Account tells the worker the caller's account.
 	Account string
-	// ExpectedWorker names the worker that is meant; Instance the one that answers.
+	// ExpectedWorker is the id of the worker that a request is sent to; WorkerID that of the
+	// worker that responds.
 	ExpectedWorker string
 	WorkerID       string
-	// CacheFrom tells an engine the address of another that may keep the prefix.
+	// CacheFrom is the address of another engine that may have the prompt prefix cached.
 	CacheFrom string
-	// Rank is the priority told to engines; 0 goes first.
+	// Rank is the priority of a request at an engine; 0 is the highest.
 	Rank string
-	// Load is a worker's RUNNING,WAITING,SLOTS.
+	// Load is a worker's load as RUNNING,WAITING,SLOTS.
 	Load string
-	// NotRun is set on an answer where the worker did not run the request.
+	// NotRun is set on a response if the worker did not run the request.
 	NotRun string
-	// Leaving is set on every answer of a worker that leaves.
+	// Leaving is set on every response of a worker that is shutting down.
 	Leaving string
-	// Signature is set on every answer that a worker made.
+	// Signature is set on every response that comes from a worker and not from an
+	// intermediary.
 	Signature string
-	// Reserved are further headers by which only hosts speak to workers. A caller's
-	// are never passed on.
+	// Reserved are further headers that only hosts may send to workers. They are removed
+	// from callers' requests.
 	Reserved []string
 }
 
-// DefaultHeaders are yardhall's own names.
+// DefaultHeaders returns yardhall's own header names.
 func DefaultHeaders() Headers {
 	return Headers{
 		RequestID: "Yardhall-Request-Id", DeadlineMs: "Yardhall-Timeout-Ms", Model: "Yardhall-Model",
@@ -63,30 +64,31 @@
 	}
 }
 
-// ofHosts are the headers that a worker may only get from a host: what a caller says
-// under these names is dropped, and what a worker repeats is kept from callers.
-func (h Headers) ofHosts() []string {
+// hostHeaders returns the headers that only hosts may set. They are removed from callers'
+// requests and from workers' responses.
+func (h Headers) hostHeaders() []string {
 	return append([]string{h.DeadlineMs, h.Account, h.ExpectedWorker, h.CacheFrom, h.Rank}, h.Reserved...)
 }
 
-// ofCaller are the headers that say what the caller asks for. They belong to the
-// request, so that no Connection header takes them away.
-func (h Headers) ofCaller() []string {
+// callerHeaders returns the headers that describe the request. They are end-to-end: they are
+// forwarded even if the caller lists them in its Connection header.
+func (h Headers) callerHeaders() []string {
 	return []string{h.RequestID, h.Model, h.Tokens, h.PromptParts, h.LastEventID}
 }
 
-// ofWorkers are the headers by which workers tell hosts, and not callers, about
-// themselves.
-func (h Headers) ofWorkers() []string { return []string{h.WorkerID, h.Load, h.NotRun} }
+// workerHeaders returns the headers in which workers report their state to hosts. Callers do
+// not get them.
+func (h Headers) workerHeaders() []string { return []string{h.WorkerID, h.Load, h.NotRun} }
 
-// connectionHeaders pertain to one connection and are never passed on.
-var connectionHeaders = []string{
+// hopByHopHeaders apply to a single connection and are never forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// passedOn returns the headers that do not pertain to one connection.
-func passedOn(in http.Header) http.Header {
+// endToEnd returns the headers of in without the hop-by-hop ones, including those that its
+// Connection header lists.
+func endToEnd(in http.Header) http.Header {
 	out := make(http.Header, len(in))
 	for name, values := range in {
 		out[name] = values
@@ -96,29 +98,29 @@
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range connectionHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(out, name)
 	}
 	return out
 }
 
-// drop takes headers away.
-func drop(from http.Header, names []string) {
+func deleteHeaders(from http.Header, names []string) {
 	for _, name := range names {
 		from.Del(name)
 	}
 }
 
-// toCaller returns the headers of a worker's answer that callers see.
+// toCaller returns the headers of a worker's response that are forwarded to the caller.
 func (h Headers) toCaller(in http.Header) http.Header {
-	out := passedOn(in)
-	drop(out, h.ofHosts())
-	drop(out, h.ofWorkers())
+	out := endToEnd(in)
+	deleteHeaders(out, h.hostHeaders())
+	deleteHeaders(out, h.workerHeaders())
 	return out
 }
 
-// request reads what the core needs to know of a request.
-func (h Headers) request(r *http.Request, now time.Time) requests.Request {
+// parseRequest extracts from r what the core decides on. Values that are missing or malformed
+// stay zero.
+func (h Headers) parseRequest(r *http.Request, now time.Time) requests.Request {
 	out := requests.Request{
 		ID: ident.Request(r.Header.Get(h.RequestID)), Host: r.Host, Path: r.URL.Path,
 		Resumed: r.Header.Get(h.LastEventID) != "",
@@ -130,7 +132,7 @@
 		out.Deadline = now.Add(time.Duration(ms) * time.Millisecond)
 	}
 	out.Prompt.Model = ident.Model(r.Header.Get(h.Model))
-	out.Prompt.TokensIn, out.Prompt.TokensOut = pair(r.Header.Get(h.Tokens))
+	out.Prompt.TokensIn, out.Prompt.TokensOut = parsePair(r.Header.Get(h.Tokens))
 	for part := range strings.SplitSeq(r.Header.Get(h.PromptParts), ",") {
 		id, tokens, ok := strings.Cut(strings.TrimSpace(part), ":")
 		if n, err := strconv.Atoi(tokens); ok && err == nil {
@@ -140,7 +142,8 @@
 	return out
 }
 
-// digest is the hash of what a request consists of, its headers apart.
+// digest returns the SHA-256 of method, host, request URI and body. All parts but the body
+// are prefixed by their length, so that the boundaries between them are unambiguous.
 func digest(r *http.Request, body []byte) []byte {
 	h := sha256.New()
 	for _, part := range []string{r.Method, r.Host, r.URL.RequestURI()} {
@@ -151,32 +154,33 @@
 	return h.Sum(nil)
 }
 
-// pair reads two whole numbers joined by a comma; 0 for what is not there.
-func pair(text string) (first, second int) {
+// parsePair parses two integers separated by a comma; missing or malformed ones are 0.
+func parsePair(text string) (first, second int) {
 	a, b, _ := strings.Cut(text, ",")
 	first, _ = strconv.Atoi(strings.TrimSpace(a))
 	second, _ = strconv.Atoi(strings.TrimSpace(b))
 	return first, second
 }
 
-// load reads a worker's report of its load.
-func (h Headers) load(in http.Header) requests.Load {
+// parseLoad parses the load that a worker reports with a response.
+func (h Headers) parseLoad(in http.Header) requests.Load {
 	running, rest, _ := strings.Cut(in.Get(h.Load), ",")
 	var l requests.Load
 	l.Running, _ = strconv.Atoi(strings.TrimSpace(running))
-	l.Waiting, l.Slots = pair(rest)
+	l.Waiting, l.Slots = parsePair(rest)
 	return l
 }
 
-// toWorker returns the headers of one try at a worker.
+// toWorker returns the headers of a request that is sent to the worker of d. left is the time
+// until the deadline.
 func (h Headers) toWorker(in http.Header, d requests.Dispatch, left time.Duration, lastEvent string) http.Header {
-	out := passedOn(in)
-	for _, name := range h.ofCaller() {
+	out := endToEnd(in)
+	for _, name := range h.callerHeaders() {
 		if values, ok := in[name]; ok {
 			out[name] = values
 		}
 	}
-	drop(out, h.ofHosts())
+	deleteHeaders(out, h.hostHeaders())
 	out.Del("Authorization")
 	out.Set(h.RequestID, string(d.Request))
 	if d.Account != "" {
@@ -196,5 +200,5 @@
 	return out
 }
 
-// lowestRank is the least urgent priority that engines know.
+// lowestRank is the lowest priority that engines support.
 const lowestRank = 9
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -10,22 +10,22 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// notice reads what a worker says of itself with an answer. What another process at its
-// address says is not the worker's.
-func (h Headers) notice(resp *http.Response, now time.Time) requests.Notice {
+// parseNotice returns the shutdown and backoff that a worker reports with a response. Status
+// 421 comes from another process at the worker's address and yields an empty notice.
+func (h Headers) parseNotice(resp *http.Response, now time.Time) requests.Notice {
 	switch resp.StatusCode {
 	case http.StatusMisdirectedRequest:
 		return requests.Notice{}
 	case http.StatusTooManyRequests:
-		return requests.Notice{Leaving: h.leaving(resp.Header), Reluctance: retryafter.Of(resp.Header, now)}
+		return requests.Notice{Leaving: h.isLeaving(resp.Header), Reluctance: retryafter.Of(resp.Header, now)}
 	case http.StatusServiceUnavailable:
-		return requests.Notice{Leaving: h.leaving(resp.Header), Backoff: retryafter.Of(resp.Header, now)}
+		return requests.Notice{Leaving: h.isLeaving(resp.Header), Backoff: retryafter.Of(resp.Header, now)}
 	}
-	return requests.Notice{Leaving: h.leaving(resp.Header)}
+	return requests.Notice{Leaving: h.isLeaving(resp.Header)}
 }
 
-// leaving tells whether an answer says that its worker leaves.
-func (h Headers) leaving(in http.Header) bool {
-	said := in.Get(h.Leaving)
-	return said != "" && said != "0"
+// isLeaving reports whether the headers of a response state that the worker is shutting down.
+func (h Headers) isLeaving(in http.Header) bool {
+	value := in.Get(h.Leaving)
+	return value != "" && value != "0"
 }
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -12,8 +12,8 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// TestNoticesOfWorkersAreRead reads what workers say of themselves with their answers.
-func TestNoticesOfWorkersAreRead(t *testing.T) {
+// TestParseNotice guards against misread shutdown and backoff headers of workers.
+func TestParseNotice(t *testing.T) {
 	names := DefaultHeaders()
 	now := time.Date(2026, time.May, 4, 12, 0, 0, 0, time.UTC)
 	backoff := func(d time.Duration) requests.Notice { return requests.Notice{Backoff: d} }
@@ -42,7 +42,7 @@
 					header.Set(key, value)
 				}
 			}
-			require.Equal(t, tt.want, names.notice(&http.Response{StatusCode: tt.status, Header: header}, now))
+			require.Equal(t, tt.want, names.parseNotice(&http.Response{StatusCode: tt.status, Header: header}, now))
 		})
 	}
 }
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -19,70 +19,64 @@
 )
 
 const (
-	// connectTimeout bounds a new connection to a worker. Chosen, not measured.
 	connectTimeout = 400 * time.Millisecond
-	// TCPUserTimeout ends a connection whose bytes are not acknowledged (RFC 5482). Chosen,
-	// not measured.
+	// TCPUserTimeout closes a connection whose data stays unacknowledged (RFC 5482).
 	TCPUserTimeout = 2 * time.Second
-	// assumedIdle is how long a worker keeps an idle connection where it does not say.
-	// Chosen, not measured.
-	assumedIdle = 2 * time.Second
-	// idleMargin is kept from the time that a worker gives, so that its close does not
-	// cross a request. Chosen, not measured.
-	idleMargin = 800 * time.Millisecond
-	// maxIdle bounds the idle connections kept to one worker. Chosen, not measured.
-	maxIdle = 32
-	// readBuffer is the size of a connection's buffer, in bytes.
-	readBuffer = 4 << 10
-	// sweepEvery is the time between two looks over all idle connections.
-	sweepEvery = time.Second
+	// defaultIdleTimeout is assumed for workers that send no Keep-Alive timeout.
+	defaultIdleTimeout = 2 * time.Second
+	// idleSafetyMargin is subtracted from a worker's idle timeout, so that it does not close
+	// a connection while a request is on its way.
+	idleSafetyMargin = 800 * time.Millisecond
+	maxIdlePerWorker = 32
+	readBufferSize   = 4 << 10
+	// sweepInterval is the time between two searches for expired idle connections.
+	sweepInterval = time.Second
 )
 
 // workerConn is a connection to a worker that carries one request at a time.
 type workerConn struct {
 	net.Conn
-	reader *bufio.Reader
-	worker process
-	// until is how long the connection may be kept idle.
-	until time.Time
-	fresh bool
+	reader  *bufio.Reader
+	process workerProcess
+	// idleDeadline is when the connection expires if it is idle.
+	idleDeadline time.Time
+	fresh        bool
 }
 
-// process is one process of a worker: a connection to an earlier one leads nowhere.
-type process struct {
+// workerProcess identifies one process of a worker. Connections are pooled by process, as
+// those to an earlier process of the worker are dead.
+type workerProcess struct {
 	id   ident.Target
 	born registry.Incarnation
 }
 
-func processOf(w registry.Worker) process { return process{id: w.ID, born: w.Born} }
+func processOf(w registry.Worker) workerProcess { return workerProcess{id: w.ID, born: w.Born} }
 
-// Pool keeps connections to workers. It never sends anything twice.
+// Pool holds idle connections to workers. It never resends a request.
 type Pool struct {
 	from *net.TCPAddr
 	mu   sync.Mutex
-	idle map[process][]*workerConn
-	// swept is when idle connections were last looked through.
-	swept time.Time
-	// Dialed counts new connections, Reused those taken up again.
+	idle map[workerProcess][]*workerConn
+	// lastSweep is when expired connections of all workers were last closed.
+	lastSweep time.Time
+	// Dialed counts new connections, Reused those taken from the pool.
 	Dialed atomic.Int64
 	Reused atomic.Int64
 }
 
-// NewPool returns a pool that dials from the given address; nil leaves it to
-// the system.
+// NewPool returns a pool that dials from the given local address; nil lets the system choose.
 func NewPool(from *net.TCPAddr) *Pool {
-	return &Pool{from: from, idle: map[process][]*workerConn{}}
+	return &Pool{from: from, idle: map[workerProcess][]*workerConn{}}
 }
 
-// get returns a connection to the worker: an idle one that is open and silent, or a new
-// one.
-func (p *Pool) get(ctx context.Context, w registry.Worker, now time.Time) (*workerConn, error) {
+// acquire returns a connection to the worker: an idle one that is still usable, or a new one.
+func (p *Pool) acquire(ctx context.Context, w registry.Worker, now time.Time) (*workerConn, error) {
 	for {
 		c := p.takeIdle(processOf(w), now)
 		if c == nil {
 			return p.dial(ctx, w)
 		}
-		if c.openAndSilent() {
+		if c.isOpenAndIdle() {
 			p.Reused.Add(1)
 			c.fresh = false
 			return c, nil
@@ -91,16 +85,16 @@
 	}
 }
 
-func (p *Pool) takeIdle(id process, now time.Time) *workerConn {
+func (p *Pool) takeIdle(id workerProcess, now time.Time) *workerConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sweep(now)
+	p.closeExpired(now)
 	list := p.idle[id]
 	for len(list) > 0 {
 		c := list[len(list)-1]
 		list = list[:len(list)-1]
 		p.idle[id] = list
-		if now.Before(c.until) {
+		if now.Before(c.idleDeadline) {
 			return c
 		}
 		_ = c.Close()
@@ -109,16 +103,17 @@
 	return nil
 }
 
-// sweep closes what has been idle for too long. The caller holds mu.
-func (p *Pool) sweep(now time.Time) {
-	if now.Sub(p.swept) < sweepEvery {
+// closeExpired closes the expired idle connections of all workers, at most once per
+// sweepInterval. The caller holds mu.
+func (p *Pool) closeExpired(now time.Time) {
+	if now.Sub(p.lastSweep) < sweepInterval {
 		return
 	}
-	p.swept = now
+	p.lastSweep = now
 	for id, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.until) {
+			if now.Before(c.idleDeadline) {
 				kept = append(kept, c)
 			} else {
 				_ = c.Close()
@@ -132,20 +127,21 @@
 	}
 }
 
-// put keeps a connection for the next request.
-func (p *Pool) put(c *workerConn, keep time.Duration, now time.Time) {
-	if keep <= 0 {
-		keep = assumedIdle
+// release returns a connection to the pool, or closes it if the pool has enough for its worker.
+// idleTimeout is the one that the worker reported; 0 is defaultIdleTimeout.
+func (p *Pool) release(c *workerConn, idleTimeout time.Duration, now time.Time) {
+	if idleTimeout <= 0 {
+		idleTimeout = defaultIdleTimeout
 	}
-	c.until = now.Add(keep - idleMargin)
+	c.idleDeadline = now.Add(idleTimeout - idleSafetyMargin)
 	_ = c.SetDeadline(time.Time{})
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.worker]) >= maxIdle {
+	if len(p.idle[c.process]) >= maxIdlePerWorker {
 		_ = c.Close()
 		return
 	}
-	p.idle[c.worker] = append(p.idle[c.worker], c)
+	p.idle[c.process] = append(p.idle[c.process], c)
 }
 
 // Close closes all idle connections.
@@ -157,7 +153,7 @@
 			_ = c.Close()
 		}
 	}
-	p.idle = map[process][]*workerConn{}
+	p.idle = map[workerProcess][]*workerConn{}
 }
 
 func (p *Pool) dial(ctx context.Context, w registry.Worker) (*workerConn, error) {
@@ -170,12 +166,12 @@
 		return nil, errors.Wrap(err, "connect")
 	}
 	p.Dialed.Add(1)
-	return &workerConn{Conn: conn, reader: bufio.NewReaderSize(conn, readBuffer), worker: processOf(w), fresh: true}, nil
+	return &workerConn{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), process: processOf(w), fresh: true}, nil
 }
 
-// openAndSilent tells whether an idle connection is open and silent: bytes that came
-// unasked belong to no request.
-func (c *workerConn) openAndSilent() bool {
+// isOpenAndIdle reports whether a non-blocking read finds an idle connection neither closed by
+// the worker nor with unread bytes, which would be taken for the next response.
+func (c *workerConn) isOpenAndIdle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -187,12 +183,12 @@
 	if err != nil {
 		return false
 	}
-	silent := false
+	idle := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, rerr := unix.Read(int(fd), one[:])
-		silent = errors.Is(rerr, unix.EAGAIN)
+		idle = errors.Is(rerr, unix.EAGAIN)
 		return true
 	})
-	return err == nil && silent
+	return err == nil && idle
 }
--- a/gateway/probe_test.go
+++ b/gateway/probe_test.go
@@ -15,16 +15,16 @@
 	"github.com/yardhall/yardhall/gateway"
 )
 
-// probingCore asks for a connection to a worker with each request that arrives.
+// probingCore requests a connection probe of a worker with each request that arrives.
 type probingCore struct {
 	*fakeCore
 	worker  registry.Worker
-	reached chan requests.ProbeEnded
+	results chan requests.ProbeEnded
 }
 
 func (c *probingCore) Decide(ev requests.Event) []requests.Decision {
 	if r, ok := ev.(requests.ProbeEnded); ok {
-		c.reached <- r
+		c.results <- r
 	}
 	decisions := c.fakeCore.Decide(ev)
 	if _, ok := ev.(requests.Arrived); ok {
@@ -33,17 +33,17 @@
 	return decisions
 }
 
-// TestConnectionsAreMadeWithoutARequest has the core ask for a connection beside a
-// request: the request is answered, and the core is told whether the connection came
-// up, of a worker that listens and of one that does not, and that the latter refused it.
-func TestConnectionsAreMadeWithoutARequest(t *testing.T) {
-	b := newBench(t, 1)
+// TestConnectionProbesReportTheirResult guards against lost or wrong results of connection
+// probes, to a worker that listens and to an address that refuses connections, and against
+// probes that disturb the request that caused them.
+func TestConnectionProbesReportTheirResult(t *testing.T) {
+	b := newTestbed(t, 1)
 	listening, ok := b.core.state.Worker("w0")
 	require.True(t, ok)
-	gone := listening
-	gone.ID, gone.Address = "gone", "127.0.0.1:1"
-	for _, w := range []registry.Worker{listening, gone} {
-		c := &probingCore{fakeCore: b.core, worker: w, reached: make(chan requests.ProbeEnded, 1)}
+	refusing := listening
+	refusing.ID, refusing.Address = "gone", "127.0.0.1:1"
+	for _, w := range []registry.Worker{listening, refusing} {
+		c := &probingCore{fakeCore: b.core, worker: w, results: make(chan requests.ProbeEnded, 1)}
 		server := httptest.NewServer(gateway.NewServer(gateway.Deps{Core: c, Pool: b.pool, Headers: names}))
 		req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, server.URL+"/safe/x", nil)
 		require.NoError(t, err)
@@ -55,7 +55,7 @@
 		require.Equal(t, http.StatusOK, resp.StatusCode)
 		require.NoError(t, resp.Body.Close())
 		isListening := w.ID == listening.ID
-		require.Equal(t, requests.ProbeEnded{Worker: w.ID, OK: isListening, Refused: !isListening}, <-c.reached)
+		require.Equal(t, requests.ProbeEnded{Worker: w.ID, OK: isListening, Refused: !isListening}, <-c.results)
 		server.Close()
 	}
 }
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -1,16 +1,15 @@
 // Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
 
-// Package gateway is the front door for requests of the route table: it takes them
-// over HTTP, sends each to the worker that the core picks, over kept
-// connections that carry one request at a time, and gives the worker's answer
-// back unchanged.
+// Package gateway is the HTTP reverse proxy for the requests of the route table. It sends
+// each request to the worker that the core selects, over pooled connections that carry one
+// request at a time, and returns the worker's response unchanged.
 //
 // # Usage
 //
 //	s := gateway.NewServer(gateway.Deps{Core: core, Pool: pool, Headers: gateway.DefaultHeaders()})
 //	http.Serve(listener, s)
 //
-// Nothing is sent twice below the core: each try is one Dispatch.
+// The gateway never retries by itself: each attempt is a Dispatch of the core.
 package gateway
 
 import (
@@ -28,66 +27,66 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// Core is what the server needs of the process's event loop.
+// Core decides on requests; the process's event loop implements it.
 type Core interface {
-	// Decide feeds one event and returns what was decided.
+	// Decide processes one event and returns the resulting decisions.
 	Decide(ev requests.Event) []requests.Decision
-	// Await returns the next decision for a request that waits. Where ctx
-	// ends first, the request is withdrawn; nil means that the process stops.
+	// Await blocks until there is a decision for a waiting request. If ctx is done first,
+	// the request is withdrawn. It returns nil if the process stops.
 	Await(ctx context.Context, id ident.Request) requests.Decision
-	// Limits are the bounds for callers in force.
+	// Limits returns the limits for callers in force.
 	Limits() config.Limits
-	// Draining tells whether the process is being stopped.
+	// Draining reports whether the process is shutting down.
 	Draining() bool
 }
 
-// Deps is what a server needs.
+// Deps are the dependencies of a Server.
 type Deps struct {
 	Core    Core
 	Pool    *Pool
 	Headers Headers
-	// Now is the clock; nil is clock.Now.
+	// Now returns the current time; nil means clock.Now.
 	Now func() time.Time
-	// Observe takes each ended request; nil drops it.
+	// Observe, if not nil, is called for each finished request.
 	Observe func(Observation)
 }
 
-// Observation is one ended request.
+// Observation describes a finished request, for logs and metrics.
 type Observation struct {
 	Request requests.Request
 	Verdict requests.Verdict
 	Inputs  requests.Inputs
-	// Attempts lists the workers called and what came of it.
+	// Attempts are in the order in which they were made.
 	Attempts []Attempt
 	Duration time.Duration
-	// StartupWait is how long the request waited for this host to start.
+	// StartupWait is how long the request waited for this host to become ready.
 	StartupWait time.Duration
-	// TimeToFirstByte is the time to the first byte of the answer; 0 for none.
+	// TimeToFirstByte is the time to the first byte of a stream; 0 if none was sent.
 	TimeToFirstByte time.Duration
-	// MaxEventGap is the longest pause between events of a stream.
+	// MaxEventGap is the longest time between two writes of a stream to the caller.
 	MaxEventGap time.Duration
 }
 
-// Attempt is one try at a worker.
+// Attempt is one attempt of a request at a worker.
 type Attempt struct {
 	Dispatch requests.Dispatch
 	Result   outcome.Attempt
 	Duration time.Duration
 }
 
-// Server is an http.Handler for the requests of callers.
+// Server is the http.Handler of the gateway.
 type Server struct {
-	core    Core
-	pool    *Pool
-	headers Headers
-	now     func() time.Time
-	observe func(Observation)
-	running running
-	// InFlight counts the requests in progress.
+	core      Core
+	pool      *Pool
+	headers   Headers
+	now       func() time.Time
+	observe   func(Observation)
+	exchanges exchangeTable
+	// InFlight is the number of requests in progress.
 	InFlight atomic.Int64
 }
 
-// NewServer returns a server.
+// NewServer returns a server with the given dependencies.
 func NewServer(d Deps) *Server {
 	s := &Server{core: d.Core, pool: d.Pool, headers: d.Headers, now: d.Now, observe: d.Observe}
 	if s.now == nil {
@@ -99,15 +98,15 @@
 	return s
 }
 
-// defaultMaxBody bounds a request's body where the configuration does not.
+// defaultMaxBody bounds a request's body in bytes if the configuration sets no limit.
 const defaultMaxBody = 8 << 20
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.InFlight.Add(1)
 	defer s.InFlight.Add(-1)
-	begun := s.now()
-	req := s.headers.request(r, begun)
+	startedAt := s.now()
+	req := s.headers.parseRequest(r, startedAt)
 	if s.core.Draining() {
 		w.Header().Set("Connection", "close")
 	}
@@ -120,13 +119,14 @@
 		http.Error(w, http.StatusText(status), status)
 		return
 	}
-	c := &serverCall{server: s, writer: w, request: r, body: body, begun: begun, relay: relay{w: w, now: s.now, headers: s.headers, lastID: r.Header.Get(s.headers.LastEventID)}}
+	c := &serverCall{server: s, writer: w, request: r, body: body, startedAt: startedAt, relay: eventRelay{w: w, now: s.now, headers: s.headers, lastEventID: r.Header.Get(s.headers.LastEventID)}}
 	req.Digest = digest(r, body)
 	c.observed.Request = req
 	c.run(req)
 }
 
-// readBody reads the whole body; status is an error to answer, or 0.
+// readBody reads the complete body. status is the HTTP status of the error response, or 0 on
+// success.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request) (body []byte, status int) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, 0
@@ -149,19 +149,19 @@
 	return body, 0
 }
 
-// reportHeader hands to the core that an answer has begun, and what the worker says of
-// itself with it.
+// reportHeader reports to the core that a response has begun, together with the load, backoff
+// and shutdown that the worker reports in its header.
 func (s *Server) reportHeader(d requests.Dispatch, resp *http.Response, took time.Duration) {
 	s.core.Decide(requests.HeaderReceived{
 		Request: d.Request, Attempt: d.Attempt, Worker: d.Worker.ID,
-		Declined: notRun(resp, s.headers), Notice: s.headers.notice(resp, s.now()),
-		Load: s.headers.load(resp.Header), Route: d.Route.Name, Took: took,
+		Declined: reportsNotRun(resp, s.headers), Notice: s.headers.parseNotice(resp, s.now()),
+		Load: s.headers.parseLoad(resp.Header), Route: d.Route.Name, Took: took,
 	})
 }
 
-// givesUp tells whether a try without an answer so far is to end, as the request goes
-// elsewhere.
-func (s *Server) givesUp(d requests.Dispatch, waited time.Duration) bool {
+// shouldCancel reports a missing response header to the core and returns whether the attempt
+// is canceled, because the request goes to another worker.
+func (s *Server) shouldCancel(d requests.Dispatch, waited time.Duration) bool {
 	for _, decision := range s.core.Decide(requests.HeaderLate{Request: d.Request, Attempt: d.Attempt, Waited: waited}) {
 		if g, ok := decision.(requests.GiveUp); ok && g.Request == d.Request {
 			return true
@@ -170,8 +170,8 @@
 	return false
 }
 
-// nextDecision feeds an event and returns what becomes of its request, or nil. Whatever
-// else was decided is begun.
+// nextDecision reports an event to the core and returns the next decision for its request, or
+// nil. Connection probes that the core asks for are started in the background.
 func (s *Server) nextDecision(ev requests.Event) requests.Decision {
 	var next requests.Decision
 	for _, d := range s.core.Decide(ev) {
@@ -185,12 +185,12 @@
 	return next
 }
 
-// probe opens a connection to a worker that may have been cut off, and keeps it
-// for the next request.
+// probe checks whether a worker that may be unreachable accepts connections, reports the
+// result to the core and adds the connection to the pool.
 func (s *Server) probe(w registry.Worker) {
 	conn, err := s.pool.dial(context.Background(), w)
 	if err == nil {
-		s.pool.put(conn, 0, s.now())
+		s.pool.release(conn, 0, s.now())
 	}
-	s.core.Decide(requests.ProbeEnded{Worker: w.ID, OK: err == nil, Refused: isRefused(err)})
+	s.core.Decide(requests.ProbeEnded{Worker: w.ID, OK: err == nil, Refused: isConnRefused(err)})
 }
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -27,7 +27,6 @@
 	"github.com/yardhall/yardhall/standin"
 )
 
-// names are yardhall's own headers.
 var names = gateway.DefaultHeaders()
 
 func workerNames() standin.WorkerHeaders {
@@ -37,7 +36,7 @@
 	}
 }
 
-// fakeCore runs the real decisions without the rest of a process.
+// fakeCore implements gateway.Core by the state machine of core/requests, without an event loop.
 type fakeCore struct {
 	mu    sync.Mutex
 	state requests.State
@@ -57,7 +56,7 @@
 	return out
 }
 
-// Await is not asked for, as this core's host has not just started.
+// Await implements gateway.Core. It is not called, as no request waits for the host's startup.
 func (c *fakeCore) Await(context.Context, ident.Request) requests.Decision { return nil }
 
 func (c *fakeCore) Limits() config.Limits { return config.Limits{MaxBodyBytes: 1 << 16} }
@@ -65,8 +64,8 @@
 
 const callerKey = "a caller's key"
 
-// bench is an entry host with workers behind it.
-type bench struct {
+// testbed simulates an entry host with a number of workers.
+type testbed struct {
 	t       *testing.T
 	url     string
 	core    *fakeCore
@@ -76,7 +75,7 @@
 	number  int
 }
 
-func newBench(t *testing.T, workers int) *bench {
+func newTestbed(t *testing.T, workers int) *testbed {
 	second := config.Duration(2 * time.Second)
 	shares := []config.Share{{Pool: "pool", Weight: 1}}
 	table := config.RouteTable{
@@ -91,7 +90,7 @@
 		},
 		Keys: []config.KeyOwner{{Account: "halls", KeyHashes: []string{keys.Hash(callerKey)}}},
 	}
-	b := &bench{t: t, core: &fakeCore{}, pool: gateway.NewPool(nil)}
+	b := &testbed{t: t, core: &fakeCore{}, pool: gateway.NewPool(nil)}
 	b.core.state = requests.New(requests.Settings{KeyLease: time.Hour}).WithConfig(table).WithHosts(1)
 	registered := make([]registry.Worker, 0, workers)
 	for i := range workers {
@@ -111,8 +110,8 @@
 	return b
 }
 
-// runs counts the requests that workers ran.
-func (b *bench) runs() int {
+// runs returns the number of requests that the workers ran.
+func (b *testbed) runs() int {
 	n := 0
 	for _, w := range b.workers {
 		n += len(w.Runs())
@@ -120,13 +119,15 @@
 	return n
 }
 
-func (b *bench) next(faults ...standin.WorkerFault) {
+// next sets the faults of the next requests of every worker.
+// next sets the faults of the next requests of every worker.
+func (b *testbed) next(faults ...standin.WorkerFault) {
 	for _, w := range b.workers {
 		w.Next(faults...)
 	}
 }
 
-func (b *bench) request(ctx context.Context, path, body string) *http.Request {
+func (b *testbed) request(ctx context.Context, path, body string) *http.Request {
 	b.number++
 	method := http.MethodGet
 	if body != "" {
@@ -140,8 +141,8 @@
 	return r
 }
 
-// call sends a request and reads the answer; err is set where it is not whole.
-func (b *bench) call(path, body string) (status int, text string, head http.Header, err error) {
+// call sends a request and reads the response; err is set if the response is incomplete.
+func (b *testbed) call(path, body string) (status int, text string, head http.Header, err error) {
 	resp, err := http.DefaultTransport.RoundTrip(b.request(b.t.Context(), path, body))
 	if err != nil {
 		return 0, "", nil, err
@@ -151,7 +152,7 @@
 	return resp.StatusCode, string(got), resp.Header, err
 }
 
-func wholeStream() string {
+func completeStream() string {
 	var s strings.Builder
 	for n := 1; n <= standin.WorkerEvents; n++ {
 		s.WriteString(standin.WorkerEvent(n))
@@ -160,7 +161,7 @@
 }
 
 func TestRequestReachesTheWorkerUnchanged(t *testing.T) {
-	b := newBench(t, 1)
+	b := newTestbed(t, 1)
 	r := b.request(t.Context(), "/unsafe/a%2Fb/?q=1&q=2", "the body")
 	r.Header.Set("X-Own", "kept")
 	r.Header.Set(names.Account, "forged")
@@ -174,14 +175,13 @@
 	require.Equal(t, "kept", run.Header.Get("X-Own"))
 	require.Equal(t, "halls", run.Header.Get(names.Account))
 	require.Equal(t, "w0", run.Header.Get(names.ExpectedWorker))
-	require.Empty(t, run.Header.Get("Authorization"), "the key stays here")
+	require.Empty(t, run.Header.Get("Authorization"), "the API key is not forwarded")
 	require.Equal(t, "stamp-of-w0", resp.Header.Get(names.Signature))
 }
 
-// TestAnswersBelongToTheirRequest brings about every way in which a worker
-// spoils an answer: the caller gets the whole answer to its own request or a
-// failure, never anything else.
-func TestAnswersBelongToTheirRequest(t *testing.T) {
+// TestResponsesMatchTheirRequest guards against truncated, mixed up and unsigned responses: for
+// each fault of a worker, the caller gets the complete response to its own request or an error.
+func TestResponsesMatchTheirRequest(t *testing.T) {
 	faults := map[string]standin.WorkerFault{
 		"full": standin.Full, "cut before the head": standin.CutHead, "cut in the body": standin.CutBody,
 		"reset without length": standin.ResetUnframed, "closed without length": standin.Unframed,
@@ -190,7 +190,7 @@
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, 1)
+			b := newTestbed(t, 1)
 			for range 3 {
 				b.next(fault)
 				status, text, _, err := b.call("/unsafe/x", "body")
@@ -213,11 +213,11 @@
 	}
 }
 
-// TestUnsafeRequestRunsAtMostOnce lets the worker run a request and lose the
-// answer, on new and on kept connections.
+// TestUnsafeRequestRunsAtMostOnce guards against retries of an unsafe request whose response was
+// lost after the worker ran it.
 func TestUnsafeRequestRunsAtMostOnce(t *testing.T) {
 	for _, fault := range []standin.WorkerFault{standin.CutHead, standin.CutBody, standin.WrongID, standin.Unsigned} {
-		b := newBench(t, 3)
+		b := newTestbed(t, 3)
 		_, _, _, err := b.call("/unsafe/x", "warm")
 		require.NoError(t, err)
 		before := b.runs()
@@ -225,13 +225,13 @@
 		status, _, _, err := b.call("/unsafe/x", "body")
 		require.NoError(t, err)
 		require.Contains(t, []int{http.StatusBadGateway, http.StatusGatewayTimeout}, status,
-			"a run whose answer was lost promises nothing")
+			"503 would guarantee that the request did not run")
 		require.Equal(t, before+1, b.runs())
 	}
 }
 
-func TestDeclinedRequestGoesElsewhereOrIsPromisedNotRun(t *testing.T) {
-	b := newBench(t, 2)
+func TestDeclinedRequestIsRetriedOrReportedNotRun(t *testing.T) {
+	b := newTestbed(t, 2)
 	b.workers[0].Next(standin.Full)
 	b.workers[1].Next(standin.Full)
 	status, _, head, err := b.call("/unsafe/x", "body")
@@ -244,23 +244,23 @@
 	require.Equal(t, http.StatusOK, status)
 }
 
-func TestFailedSafeRequestIsTriedOnceMore(t *testing.T) {
-	b := newBench(t, 2)
+func TestFailedSafeRequestIsRetriedOnce(t *testing.T) {
+	b := newTestbed(t, 2)
 	for _, w := range b.workers {
 		w.Next(standin.Failing, standin.Sound)
 	}
 	status, _, _, err := b.call("/safe/x", "")
 	require.NoError(t, err)
-	// Both workers fail their first request, so the second try fails as well
-	// and the worker's own answer comes back.
+	// Both workers fail their first request, so the retry fails as well and the worker's own
+	// response is returned.
 	require.Equal(t, http.StatusInternalServerError, status)
 	require.Equal(t, 2, b.runs())
 }
 
-// TestAddressOfAnotherWorkerIsNotTaken registers a worker whose address now
-// belongs to another.
-func TestAddressOfAnotherWorkerIsNotTaken(t *testing.T) {
-	b := newBench(t, 1)
+// TestRequestIsNotRunByAnotherWorkerAtTheAddress guards against a request that runs at a worker
+// other than the selected one, because the address was reassigned.
+func TestRequestIsNotRunByAnotherWorkerAtTheAddress(t *testing.T) {
+	b := newTestbed(t, 1)
 	b.workers[0].ID = "somebody-else"
 	status, _, head, err := b.call("/unsafe/x", "body")
 	require.NoError(t, err)
@@ -269,8 +269,8 @@
 	require.Zero(t, b.runs())
 }
 
-func TestConnectionsAreKept(t *testing.T) {
-	b := newBench(t, 1)
+func TestConnectionsAreReused(t *testing.T) {
+	b := newTestbed(t, 1)
 	for range 20 {
 		status, _, _, err := b.call("/unsafe/x", "body")
 		require.NoError(t, err)
@@ -279,40 +279,41 @@
 	require.Equal(t, 1, b.workers[0].Opened())
 }
 
-func TestStreamArrivesWhole(t *testing.T) {
+func TestStreamIsForwardedCompletely(t *testing.T) {
 	for _, path := range []string{"/stream/once/x", "/stream/again/x"} {
-		b := newBench(t, 1)
+		b := newTestbed(t, 1)
 		status, text, _, err := b.call(path, "body")
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status)
-		require.Equal(t, wholeStream(), text)
+		require.Equal(t, completeStream(), text)
 	}
 }
 
-// TestBrokenStreamGoesOnElsewhereOnlyWhereAllowed cuts a stream within an event.
-func TestBrokenStreamGoesOnElsewhereOnlyWhereAllowed(t *testing.T) {
-	b := newBench(t, 2)
+// TestOnlyResumableStreamsAreRetried guards against retries of a stream that is not resumable,
+// and against repeated or missing events of one that is; the first worker cuts it within an event.
+func TestOnlyResumableStreamsAreRetried(t *testing.T) {
+	b := newTestbed(t, 2)
 	b.workers[0].Next(standin.CutEvent)
 	b.workers[1].Next(standin.CutEvent, standin.Sound)
 	status, text, _, err := b.call("/stream/once/x", "body")
 	require.Equal(t, http.StatusOK, status)
-	require.Error(t, err, "what broke off must not look whole")
+	require.Error(t, err, "a truncated stream must not look complete")
 	require.Equal(t, standin.WorkerEvent(1)+standin.WorkerEvent(2), text)
 	require.Equal(t, 1, b.runs())
 
-	b = newBench(t, 2)
+	b = newTestbed(t, 2)
 	b.workers[0].Next(standin.CutEvent, standin.Sound)
 	b.workers[1].Next(standin.Sound)
 	for range 2 {
 		status, text, _, err = b.call("/stream/again/x", "body")
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status)
-		require.Equal(t, wholeStream(), text, "no event twice, none missing")
+		require.Equal(t, completeStream(), text, "no repeated or missing event")
 	}
 }
 
-func TestGivenUpRequestIsAnsweredAtItsTimeout(t *testing.T) {
-	b := newBench(t, 1)
+func TestHungRequestTimesOut(t *testing.T) {
+	b := newTestbed(t, 1)
 	b.next(standin.Hang)
 	status, _, _, err := b.call("/short/x", "body")
 	require.NoError(t, err)
@@ -320,16 +321,16 @@
 	require.Equal(t, 1, b.runs())
 }
 
-func TestLongBodyIsRefused(t *testing.T) {
-	b := newBench(t, 1)
+func TestOversizedBodyIsRejected(t *testing.T) {
+	b := newTestbed(t, 1)
 	status, _, _, err := b.call("/unsafe/x", strings.Repeat("x", 1<<17))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusRequestEntityTooLarge, status)
 	require.Zero(t, b.runs())
 }
 
-// silentWorker takes one request and answers nothing. got is closed once it has read the
-// request, closed once its caller has closed the connection.
+// silentWorker simulates a worker that reads one request and never responds. got is closed once
+// it has read the request, closed once the other end has closed the connection.
 func silentWorker(t *testing.T) (address string, got, closed chan struct{}) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -351,11 +352,11 @@
 	return l.Addr().String(), got, closed
 }
 
-// TestCallerThatLeavesEndsTheWork closes the caller's connection while the
-// worker is at work: the connection to the worker is closed, too.
-func TestCallerThatLeavesEndsTheWork(t *testing.T) {
+// TestCallerDisconnectClosesWorkerConnection guards against workers that continue to process a
+// request whose caller has disconnected.
+func TestCallerDisconnectClosesWorkerConnection(t *testing.T) {
 	address, got, closed := silentWorker(t)
-	b := newBench(t, 0)
+	b := newTestbed(t, 0)
 	b.core.Decide(requests.Registered{Workers: []registry.Worker{{ID: "slow", Pool: "pool", Address: address, Slots: 1, Seq: 1}}})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
@@ -367,7 +368,7 @@
 	select {
 	case <-closed:
 	case <-time.After(30 * time.Second):
-		t.Fatal("the worker goes on for a caller that has left")
+		t.Fatal("the connection to the worker was not closed")
 	}
 	require.Eventually(t, func() bool {
 		b.core.mu.Lock()
@@ -376,9 +377,10 @@
 	}, 30*time.Second, time.Millisecond)
 }
 
-// TestSilentlyClosedConnectionIsNotUsed closes idle connections at the worker.
-func TestSilentlyClosedConnectionIsNotUsed(t *testing.T) {
-	b := newBench(t, 1)
+// TestConnectionClosedByWorkerIsNotReused guards against requests that fail on pooled connections
+// that the worker has closed.
+func TestConnectionClosedByWorkerIsNotReused(t *testing.T) {
+	b := newTestbed(t, 1)
 	for range 5 {
 		status, _, _, err := b.call("/unsafe/x", "body")
 		require.NoError(t, err)
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -17,147 +17,148 @@
 )
 
 const (
-	streamRead = 4 << 10
-	// maxEvent bounds one event. Chosen, not measured.
-	maxEvent = 1 << 20
+	readChunkSize = 4 << 10
+	maxEventBytes = 1 << 20
 )
 
-// relay passes events of one or more workers on to one caller.
-type relay struct {
+// eventRelay writes the server-sent events of one request to its caller. After a retry it
+// continues with the events of another worker.
+type eventRelay struct {
 	w       http.ResponseWriter
 	now     func() time.Time
 	headers Headers
-	// begun is set once the caller has seen the head, at first.
-	begun bool
-	first time.Time
-	// last is when the caller was sent something last, pause the longest time between
-	// two such moments.
-	last  time.Time
-	pause time.Duration
-	// lastID is the id of the last event passed on, as the caller knows it.
-	lastID string
-	// failed is set where the caller takes nothing more.
-	failed bool
+	// headerSent is set once the response header was written, at firstWrite.
+	headerSent bool
+	firstWrite time.Time
+	// maxGap is the longest time between two writes of events, the last one at lastWrite.
+	lastWrite time.Time
+	maxGap    time.Duration
+	// lastEventID is the id of the last event that the caller has.
+	lastEventID string
+	// writeFailed is set once a write to the caller failed.
+	writeFailed bool
 }
 
-// stream makes one try of a request whose answer is a stream. The caller gets
-// whole events only, and nothing before the first.
-func (x *exchange) stream(ctx context.Context, r *relay) (*answer, outcome.Attempt) {
-	if failed := x.send(ctx, r.lastID); failed != nil {
-		return nil, failed
+// attemptStream makes one attempt whose response is an event stream. Only complete events
+// are forwarded, and the header is not sent before the first one, so that a failed attempt
+// can still be retried.
+func (x *exchange) attemptStream(ctx context.Context, r *eventRelay) (*response, outcome.Attempt) {
+	if failure := x.send(ctx, r.lastEventID); failure != nil {
+		return nil, failure
 	}
 	stop := context.AfterFunc(ctx, func() { _ = x.conn.Close() })
 	defer stop()
-	resp, err := x.receive()
+	resp, err := x.readResponse()
 	if err != nil {
 		_ = x.conn.Close()
-		return nil, outcome.Broken{Reason: err.Error(), Begun: r.begun, Silent: isSilence(err)}
+		return nil, outcome.Broken{Reason: err.Error(), Begun: r.headerSent, Silent: isResponseTimeout(err)}
 	}
-	x.server.reportHeader(x.dispatch, resp, x.server.now().Sub(x.sent))
-	if notRun(resp, x.server.headers) {
-		return nil, x.declined(resp)
+	x.server.reportHeader(x.dispatch, resp, x.server.now().Sub(x.sentAt))
+	if reportsNotRun(resp, x.server.headers) {
+		return nil, x.finishDeclined(resp)
 	}
 	signed := resp.Header.Get(x.server.headers.Signature) != ""
 	if resp.StatusCode != http.StatusOK || !signed {
-		return x.failure(resp, signed, r)
+		return x.handleNonStream(resp, signed, r)
 	}
-	err = r.copyEvents(resp, func() { x.boundReads(x.dispatch.StallTimeout) })
-	x.end(resp, err == nil)
+	err = r.copyEvents(resp, func() { x.setReadTimeout(x.dispatch.StallTimeout) })
+	x.releaseConn(resp, err == nil)
 	if err != nil {
-		return nil, outcome.Broken{Reason: err.Error(), Begun: r.begun}
+		return nil, outcome.Broken{Reason: err.Error(), Begun: r.headerSent}
 	}
-	if !r.begun {
-		r.begin(resp)
+	if !r.headerSent {
+		r.sendHeader(resp)
 	}
 	return nil, outcome.Answered{Status: resp.StatusCode}
 }
 
-// failure takes an answer that is no stream.
-func (x *exchange) failure(resp *http.Response, signed bool, r *relay) (*answer, outcome.Attempt) {
+// handleNonStream reads a response that is not a signed 200, whose body is not a stream. It
+// can be forwarded only if it is signed and no event was sent yet.
+func (x *exchange) handleNonStream(resp *http.Response, signed bool, r *eventRelay) (*response, outcome.Attempt) {
 	body, err := readBody(resp)
-	x.end(resp, err == nil)
-	if err != nil || !signed || r.begun {
-		return nil, outcome.Broken{Reason: "the worker answered " + resp.Status, Begun: r.begun}
+	x.releaseConn(resp, err == nil)
+	if err != nil || !signed || r.headerSent {
+		return nil, outcome.Broken{Reason: "worker responded with status " + resp.Status, Begun: r.headerSent}
 	}
-	return &answer{status: resp.StatusCode, header: resp.Header, body: body}, outcome.Answered{Status: resp.StatusCode}
+	return &response{status: resp.StatusCode, header: resp.Header, body: body}, outcome.Answered{Status: resp.StatusCode}
 }
 
-// begin sends the head.
-func (r *relay) begin(resp *http.Response) {
-	r.begun, r.first = true, r.now()
+func (r *eventRelay) sendHeader(resp *http.Response) {
+	r.headerSent, r.firstWrite = true, r.now()
 	copyHeader(r.w.Header(), r.headers.toCaller(resp.Header))
 	r.w.WriteHeader(resp.StatusCode)
 }
 
-// copyEvents passes whole events on until the answer ends; wait is called
-// before each read.
-func (r *relay) copyEvents(resp *http.Response, wait func()) error {
-	var held []byte
-	chunk := make([]byte, streamRead)
+// copyEvents forwards complete events until the response ends. It calls beforeRead before
+// each read.
+func (r *eventRelay) copyEvents(resp *http.Response, beforeRead func()) error {
+	var buffered []byte
+	chunk := make([]byte, readChunkSize)
 	for {
-		wait()
+		beforeRead()
 		n, err := resp.Body.Read(chunk)
-		held = append(held, chunk[:n]...)
-		if end := lastEventEnd(held); end > 0 {
-			if werr := r.pass(resp, held[:end]); werr != nil {
+		buffered = append(buffered, chunk[:n]...)
+		if end := completeEventsLen(buffered); end > 0 {
+			if werr := r.writeEvents(resp, buffered[:end]); werr != nil {
 				return werr
 			}
-			held = append(held[:0], held[end:]...)
+			buffered = append(buffered[:0], buffered[end:]...)
 		}
 		switch {
-		case errors.Is(err, io.EOF) && len(held) > 0:
-			return errors.New("the stream ended within an event")
+		case errors.Is(err, io.EOF) && len(buffered) > 0:
+			return errors.New("stream ended within an event")
 		case errors.Is(err, io.EOF):
 			return nil
 		case err != nil:
-			return errors.Wrap(err, "read the stream")
-		case len(held) > maxEvent:
-			return errors.New("an event is too long")
+			return errors.Wrap(err, "read stream")
+		case len(buffered) > maxEventBytes:
+			return errors.New("stream event exceeds the size limit")
 		}
 	}
 }
 
 var eventEnd = []byte("\n\n")
 
-// lastEventEnd returns the length of the whole events at the start of data.
-func lastEventEnd(data []byte) int {
+// completeEventsLen returns the length of the complete events at the start of data.
+func completeEventsLen(data []byte) int {
 	if i := bytes.LastIndex(data, eventEnd); i >= 0 {
 		return i + len(eventEnd)
 	}
 	return 0
 }
 
-// pass sends whole events to the caller.
-func (r *relay) pass(resp *http.Response, events []byte) error {
+// writeEvents writes complete events to the caller, after the header if they are the first.
+func (r *eventRelay) writeEvents(resp *http.Response, events []byte) error {
 	id, err := r.checkIDs(events)
 	if err != nil {
 		return err
 	}
-	if !r.begun {
-		r.begin(resp)
+	if !r.headerSent {
+		r.sendHeader(resp)
 	}
 	if _, err := r.w.Write(events); err != nil {
-		r.failed = true
-		return errors.Wrap(err, "write to the caller")
+		r.writeFailed = true
+		return errors.Wrap(err, "write to caller")
 	}
 	if err := http.NewResponseController(r.w).Flush(); err != nil {
-		r.failed = true
-		return errors.Wrap(err, "write to the caller")
+		r.writeFailed = true
+		return errors.Wrap(err, "write to caller")
 	}
 	if id != "" {
-		r.lastID = id
+		r.lastEventID = id
 	}
 	now := r.now()
-	if !r.last.IsZero() {
-		r.pause = max(r.pause, now.Sub(r.last))
+	if !r.lastWrite.IsZero() {
+		r.maxGap = max(r.maxGap, now.Sub(r.lastWrite))
 	}
-	r.last = now
+	r.lastWrite = now
 	return nil
 }
 
-// checkIDs makes sure that ids rise, also from one worker to the next.
-func (r *relay) checkIDs(events []byte) (string, error) {
-	last := r.lastID
+// checkIDs checks that numeric event ids increase, also from one worker to the next, so that
+// the caller gets no event twice. It returns the last id.
+func (r *eventRelay) checkIDs(events []byte) (string, error) {
+	last := r.lastEventID
 	for line := range bytes.SplitSeq(events, []byte("\n")) {
 		id, ok := strings.CutPrefix(string(line), "id:")
 		if !ok {
@@ -167,7 +168,7 @@
 		before, err1 := strconv.ParseInt(last, 10, 64)
 		after, err2 := strconv.ParseInt(id, 10, 64)
 		if err1 == nil && err2 == nil && after <= before {
-			return "", errors.Errorf("event %s follows %s", id, last)
+			return "", errors.Errorf("event id %s is not greater than the last one, %s", id, last)
 		}
 		last = id
 	}
