--- a/targets/client.go
+++ b/targets/client.go
@@ -20,57 +20,56 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// Options bound the traffic with targets.
+// Options configure a Client. Zero values are replaced by defaults.
 type Options struct {
 	DialTimeout  time.Duration
 	ProbeTimeout time.Duration
-	// StallTimeout is how long a target may send nothing.
+	// StallTimeout is how long a target may send nothing before its attempt is canceled.
 	StallTimeout time.Duration
-	// MaxResponse bounds an answer that is not streamed.
+	// MaxResponse bounds the body of a response that is not streamed, in bytes.
 	MaxResponse int64
-	// From is the local address to dial from; nil leaves it to the system.
+	// From is the local address to dial from; nil lets the system choose.
 	From *net.TCPAddr
-	// Blocked, where set, tells which addresses must not be reached; tests
-	// cut zones off with it.
+	// Blocked, if not nil, reports whether dials to an address must fail. Tests simulate
+	// network partitions with it.
 	Blocked func(address string) bool
 }
 
 // Client sends requests to targets.
 type Client struct {
 	options Options
-	// shared keeps connections; fresh opens one for each request, so that a
-	// request that must not run twice never meets a connection that the target
-	// has just closed.
-	shared *http.Transport
+	// pooled reuses connections. fresh dials one for each request, so that a request that
+	// must not run twice never fails on a connection that the target has just closed.
+	pooled *http.Transport
 	fresh  *http.Transport
-	// control carries load reports and orders; its bytes are counted.
+	// control carries load and state queries; its bytes are counted.
 	control *http.Transport
-	// Mismatched counts answers that belonged to another request.
+	// Mismatched counts responses with the id of another request.
 	Mismatched atomic.Int64
-	// Resumed counts streams taken up again after a break.
+	// Resumed counts streams that were resumed after their connection broke.
 	Resumed atomic.Int64
-	// ProbeBytes counts the bytes of load reports, both ways.
+	// ProbeBytes counts the bytes of load and state queries, both ways.
 	ProbeBytes atomic.Int64
 }
 
 const (
-	maxIdlePerTarget = 64
-	idleTimeout      = 90 * time.Second
-	maxSmallBody     = 1 << 20
-	defaultMaxAnswer = 32 << 20
+	maxIdlePerTarget   = 64
+	idleTimeout        = 90 * time.Second
+	maxControlBody     = 1 << 20
+	defaultMaxResponse = 32 << 20
 )
 
-// NewClient returns a client; zero options take defaults.
+// NewClient returns a client with the given options.
 func NewClient(o Options) *Client {
 	o.DialTimeout = orDefault(o.DialTimeout, time.Second)
 	o.ProbeTimeout = orDefault(o.ProbeTimeout, 800*time.Millisecond)
 	o.StallTimeout = orDefault(o.StallTimeout, 30*time.Second)
-	o.MaxResponse = cmp.Or(o.MaxResponse, defaultMaxAnswer)
+	o.MaxResponse = cmp.Or(o.MaxResponse, defaultMaxResponse)
 	c := &Client{options: o}
-	c.shared = c.transport()
-	c.fresh = c.transport()
+	c.pooled = c.newTransport()
+	c.fresh = c.newTransport()
 	c.fresh.DisableKeepAlives = true
-	c.control = c.transport()
+	c.control = c.newTransport()
 	dial := c.control.DialContext
 	c.control.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -89,7 +88,7 @@
 	return d
 }
 
-func (c *Client) transport() *http.Transport {
+func (c *Client) newTransport() *http.Transport {
 	d := &net.Dialer{Timeout: c.options.DialTimeout}
 	if c.options.From != nil {
 		d.LocalAddr = c.options.From
@@ -97,7 +96,7 @@
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			if c.options.Blocked != nil && c.options.Blocked(address) {
-				return nil, errors.New("unreachable")
+				return nil, errors.New("address is blocked")
 			}
 			return d.DialContext(ctx, network, address)
 		},
@@ -105,14 +104,14 @@
 	}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
-	c.shared.CloseIdleConnections()
+	c.pooled.CloseIdleConnections()
 	c.fresh.CloseIdleConnections()
 	c.control.CloseIdleConnections()
 }
 
-// countedConn counts the bytes that pass, both ways.
+// countedConn counts the bytes read and written.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -132,23 +131,22 @@
 	return n, err // net/http adds the context.
 }
 
-// onceBody hides the body from net/http, which resends a request by itself on
-// a broken reused connection where it can read the body again or where there
-// is none.
-type onceBody struct{ io.Reader }
+// nonReplayableBody hides the type of the body from net/http, which resends a request by
+// itself if a reused connection breaks and the body is empty or can be read again.
+type nonReplayableBody struct{ io.Reader }
 
 // Close implements io.Closer.
-func (onceBody) Close() error { return nil }
+func (nonReplayableBody) Close() error { return nil }
 
-// send makes one attempt. touched tells whether a connection was had, after
-// which bytes may have reached the target.
-func (c *Client) send(ctx context.Context, x Exchange) (resp *http.Response, touched bool, err error) {
-	var had atomic.Bool
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { had.Store(true) }}
+// send makes one attempt. connected reports whether a connection was obtained, after which
+// bytes may have reached the target.
+func (c *Client) send(ctx context.Context, x Exchange) (resp *http.Response, connected bool, err error) {
+	var gotConn atomic.Bool
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { gotConn.Store(true) }}
 	url := "http://" + x.Target.Address + x.Path
-	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), x.Method, url, onceBody{bytes.NewReader(x.Body)})
+	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), x.Method, url, nonReplayableBody{bytes.NewReader(x.Body)})
 	if err != nil {
-		return nil, false, errors.Wrap(err, "make request")
+		return nil, false, errors.Wrap(err, "create request")
 	}
 	req.ContentLength = int64(len(x.Body))
 	req.Header = x.Header.Clone()
@@ -156,15 +154,15 @@
 		req.Header = http.Header{}
 	}
 	req.Header.Set(HeaderRequestID, string(x.Request))
-	transport := c.shared
+	transport := c.pooled
 	if x.FreshConnection {
 		transport = c.fresh
 	}
 	resp, err = transport.RoundTrip(req)
-	return resp, had.Load(), errors.Wrap(err, "send")
+	return resp, gotConn.Load(), errors.Wrap(err, "send")
 }
 
-// FetchLoad asks a target for its load report.
+// FetchLoad returns the load report of a target.
 func (c *Client) FetchLoad(ctx context.Context, address string) (Load, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.ProbeTimeout)
 	defer cancel()
@@ -173,7 +171,7 @@
 	return l, err
 }
 
-// FetchState asks an engine what it holds.
+// FetchState returns an engine's loaded models and the highest fencing token it has seen.
 func (c *Client) FetchState(ctx context.Context, address string) (State, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.ProbeTimeout)
 	defer cancel()
@@ -185,57 +183,57 @@
 func (c *Client) getJSON(ctx context.Context, url string, v any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return errors.Wrap(err, "make request")
+		return errors.Wrap(err, "create request")
 	}
-	// An empty User-Agent is left out, which halves the request.
+	// An empty value keeps net/http from sending a User-Agent, which halves the request.
 	req.Header.Set("User-Agent", "")
 	resp, err := c.control.RoundTrip(req)
 	if err != nil {
-		return errors.Wrap(err, "ask target")
+		return errors.Wrap(err, "query target")
 	}
 	defer closeBody(resp)
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxSmallBody))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxControlBody))
 	if err != nil {
-		return errors.Wrap(err, "read answer")
+		return errors.Wrap(err, "read response")
 	}
 	if resp.StatusCode != http.StatusOK {
-		return errors.Errorf("target answered %s", resp.Status)
+		return errors.Errorf("target responded with status %s", resp.Status)
 	}
-	return errors.Wrap(json.Unmarshal(body, v), "decode answer")
+	return errors.Wrap(json.Unmarshal(body, v), "decode response")
 }
 
 func closeBody(resp *http.Response) { _ = resp.Body.Close() }
 
-// FencedOrder is an order to one engine.
+// FencedOrder is an order to load or unload a model at one engine, with a fencing token.
 type FencedOrder struct {
-	Address  string
-	Body     OrderBody
+	Address string
+	Body    OrderBody
+	// NotAfter is when the order expires.
 	NotAfter time.Time
-	// ReadFirst asks for the engine's state and sends nothing where the order
-	// is fulfilled already.
+	// ReadFirst fetches the engine's state first and skips the order if it is already applied.
 	ReadFirst bool
 }
 
-// SendOrder sends a fenced order, unless it has become too old at now, and reads
-// the result back from the engine.
+// SendOrder sends a fenced order, unless it has expired, and verifies the result by the
+// engine's state.
 func (c *Client) SendOrder(ctx context.Context, o FencedOrder, now func() time.Time) error {
 	if o.ReadFirst {
-		if s, err := c.FetchState(ctx, o.Address); err == nil && fulfilled(s, o.Body) {
+		if s, err := c.FetchState(ctx, o.Address); err == nil && isApplied(s, o.Body) {
 			return nil
 		}
 	}
 	if now().After(o.NotAfter) {
-		return errors.New("the order is too old to be sent")
+		return errors.New("order expired before it was sent")
 	}
 	if err := c.postOrder(ctx, o); err != nil {
 		return err
 	}
 	s, err := c.FetchState(ctx, o.Address)
 	if err != nil {
-		return errors.Wrap(err, "read result back")
+		return errors.Wrap(err, "fetch engine state after order")
 	}
-	if !fulfilled(s, o.Body) {
-		return errors.New("the engine accepted the order but does not show its result")
+	if !isApplied(s, o.Body) {
+		return errors.New("engine accepted the order but its state does not show the result")
 	}
 	return nil
 }
@@ -256,22 +254,24 @@
 	defer closeBody(resp)
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxReason))
 	if err != nil {
-		return errors.Wrap(err, "read answer")
+		return errors.Wrap(err, "read response")
 	}
 	if resp.StatusCode != http.StatusOK {
-		return errors.Errorf("the engine answered %s: %s", resp.Status, text)
+		return errors.Errorf("engine responded with status %s: %s", resp.Status, text)
 	}
 	return nil
 }
 
+// maxReason bounds the texts of targets in errors and outcomes, in bytes.
 const maxReason = 512
 
-func fulfilled(s State, o OrderBody) bool {
-	holds := slices.Contains(s.Models, o.Model)
-	return holds == (o.Action == ActionLoad)
+// isApplied reports whether the state of an engine already shows the result of an order.
+func isApplied(s State, o OrderBody) bool {
+	loaded := slices.Contains(s.Models, o.Model)
+	return loaded == (o.Action == ActionLoad)
 }
 
-// Endpoint is where a target listens.
+// Endpoint is the address of a target.
 type Endpoint struct {
 	ID      ident.Target
 	Address string
--- a/targets/contract.go
+++ b/targets/contract.go
@@ -1,16 +1,16 @@
 // Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
 
-// Package targets speaks with model engines and plain services over HTTP, as
-// docs/target-contract.md describes.
+// Package targets is the HTTP client for model engines and plain services. The protocol is
+// specified in docs/target-contract.md.
 //
 // # Usage
 //
 //	c := targets.NewClient(targets.Options{})
-//	answer := c.Do(ctx, exchange)        // one attempt of a caller's request
+//	result := c.Do(ctx, exchange)            // one attempt of a caller's request
 //	report, err := c.FetchLoad(ctx, address) // an engine's load report
 //	err = c.SendOrder(ctx, order)            // a fenced order
 //
-// A request is sent at most once per call of Do: nothing below it resends.
+// Do sends a request at most once: retries by net/http are prevented.
 package targets
 
 import (
@@ -23,12 +23,12 @@
 const (
 	HeaderRequestID = "X-Request-Id"
 	HeaderPriority  = "X-Priority"
-	// HeaderDeclined is set by a target that did not run the request; its
-	// value is DeclinedLeaving or another reason.
+	// HeaderDeclined is set by a target that did not run the request. Its value is the
+	// reason; DeclinedLeaving is that of a target that is shutting down.
 	HeaderDeclined  = "X-Yardhall-Declined"
 	DeclinedLeaving = "leaving"
-	// HeaderCached and HeaderPrompt are the prompt's tokens, from the cache
-	// and in all.
+	// HeaderCached is the number of prompt tokens served from the cache, HeaderPrompt the
+	// total number.
 	HeaderCached = "X-Yardhall-Cached-Tokens"
 	HeaderPrompt = "X-Yardhall-Prompt-Tokens"
 )
@@ -46,24 +46,28 @@
 
 // Load is a target's load report.
 type Load struct {
-	// Boot grows with each start, Seq with each report.
+	// Boot increases with each start of the target, Seq with each report.
 	Boot     uint64    `json:"boot"`
 	Seq      uint64    `json:"seq"`
 	Time     time.Time `json:"time"`
 	InFlight int       `json:"in_flight"`
-	Leaving  bool      `json:"leaving"`
+	// Leaving is set if the target is shutting down.
+	Leaving bool `json:"leaving"`
 }
 
-// State is what an engine holds.
+// State is the state of an engine.
 type State struct {
+	// Models are the loaded models.
 	Models []ident.Model `json:"models"`
 	// Token is the highest fencing token seen.
 	Token uint64 `json:"token"`
 }
 
-// OrderBody is a fenced order.
+// OrderBody is the request body of a fenced order.
 type OrderBody struct {
-	Token  uint64      `json:"token"`
+	// Token is the fencing token. Engines that check it reject a lower one than the highest seen.
+	Token uint64 `json:"token"`
+	// Action is ActionLoad or ActionUnload.
 	Action string      `json:"action"`
 	Model  ident.Model `json:"model"`
 }
--- a/targets/exchange.go
+++ b/targets/exchange.go
@@ -28,41 +28,39 @@
 	Path    string
 	Header  http.Header
 	Body    []byte
-	// FreshConnection forbids reused connections.
+	// FreshConnection sends the request on a new connection instead of a pooled one.
 	FreshConnection bool
-	// Streamed is true where the caller asked for server-sent events.
+	// Streamed is set if the caller requested server-sent events.
 	Streamed bool
-	// Sink takes the answer.
+	// Sink receives the response.
 	Sink Sink
 }
 
-// Sink is the caller's end of an answer. Begin is called once, before the
-// first Write.
+// Sink forwards a response to the caller. Begin is called once, before the first Write.
 type Sink interface {
 	Begin(status int, header http.Header) error
 	Write(p []byte) error
 }
 
-// errCaller marks an error of the sink, which is the caller's and not the
-// target's.
-var errCaller = errors.New("the caller cannot be written to")
+// errCallerWrite is returned if the sink fails, which is not the target's fault.
+var errCallerWrite = errors.New("write to caller failed")
 
-// Do makes one attempt and says how it ended. An answer that is not streamed
-// reaches the sink only once it is whole.
+// Do makes one attempt and returns its outcome. A response that is not streamed is passed to
+// the sink only once it is complete.
 func (c *Client) Do(ctx context.Context, x Exchange) outcome.Attempt {
-	attempt, cancel := context.WithCancel(ctx)
+	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stall := time.AfterFunc(c.options.StallTimeout, cancel)
-	defer stall.Stop()
-	resp, touched, err := c.send(attempt, x)
+	stallTimer := time.AfterFunc(c.options.StallTimeout, cancel)
+	defer stallTimer.Stop()
+	resp, connected, err := c.send(attemptCtx, x)
 	if err != nil {
-		return c.failed(ctx, touched, false, err)
+		return c.classifyError(ctx, connected, false, err)
 	}
 	defer closeBody(resp)
 	if got := resp.Header.Get(HeaderRequestID); got != string(x.Request) {
-		// The answer belongs to another request: drop it and its connection.
+		// The response belongs to another request; its unread body also closes the connection.
 		c.Mismatched.Add(1)
-		return outcome.Broken{Reason: "the answer carries the id of another request"}
+		return outcome.Broken{Reason: "response has the id of another request"}
 	}
 	if reason := resp.Header.Get(HeaderDeclined); reason != "" {
 		return outcome.Declined{
@@ -70,61 +68,64 @@
 		}
 	}
 	if x.Streamed && resp.StatusCode == http.StatusOK {
-		result := c.stream(ctx, x, resp, stall)
+		result := c.forwardStream(ctx, x, resp, stallTimer)
 		if _, left := result.(outcome.Abandoned); left {
-			c.cancel(x)
+			c.cancelStream(x)
 		}
 		return result
 	}
-	return c.whole(ctx, x, resp)
+	return c.forwardBuffered(ctx, x, resp)
 }
 
-// failed classifies an error: the caller's leaving, nothing sent, or broken.
-func (c *Client) failed(ctx context.Context, touched, begun bool, err error) outcome.Attempt {
+// classifyError returns the outcome of a failed attempt: Abandoned if the caller left, NeverSent
+// if no connection was obtained, Broken otherwise. ctx is the caller's, without the stall timeout.
+func (c *Client) classifyError(ctx context.Context, connected, headerSent bool, err error) outcome.Attempt {
 	switch {
-	case errors.Is(ctx.Err(), context.Canceled) || errors.Is(err, errCaller):
-		return outcome.Abandoned{Sent: touched}
-	case !touched:
-		return outcome.NeverSent{Reason: short(err), Refused: IsConnRefused(err)}
+	case errors.Is(ctx.Err(), context.Canceled) || errors.Is(err, errCallerWrite):
+		return outcome.Abandoned{Sent: connected}
+	case !connected:
+		return outcome.NeverSent{Reason: shortReason(err), Refused: IsConnRefused(err)}
 	default:
-		return outcome.Broken{Reason: short(err), Begun: begun}
+		return outcome.Broken{Reason: shortReason(err), Begun: headerSent}
 	}
 }
 
-// IsConnRefused tells whether no process listens where a connection was to lead.
+// IsConnRefused reports whether a dial was refused because no process listens there.
 func IsConnRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-func short(err error) string {
+// shortReason returns the text of the root cause of err, cut to maxReason bytes.
+func shortReason(err error) string {
 	text := errors.Cause(err).Error()
 	return text[:min(len(text), maxReason)]
 }
 
-func (c *Client) whole(ctx context.Context, x Exchange, resp *http.Response) outcome.Attempt {
+// forwardBuffered reads the complete response and passes it to the sink.
+func (c *Client) forwardBuffered(ctx context.Context, x Exchange, resp *http.Response) outcome.Attempt {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.options.MaxResponse+1))
 	if err != nil {
-		return c.failed(ctx, true, false, err)
+		return c.classifyError(ctx, true, false, err)
 	}
 	if int64(len(body)) > c.options.MaxResponse {
-		return outcome.Broken{Reason: "the answer is too large"}
+		return outcome.Broken{Reason: "response body exceeds the size limit"}
 	}
 	if err := x.Sink.Begin(resp.StatusCode, resp.Header); err != nil {
 		return outcome.Abandoned{Sent: true}
 	}
-	// The target's answer is whole; whether the caller still reads it does not
-	// change that it ran.
+	// The target ran the request, whether or not this write reaches the caller.
 	_ = x.Sink.Write(body)
-	return answered(resp)
+	return answeredResult(resp)
 }
 
-func answered(resp *http.Response) outcome.Answered {
+func answeredResult(resp *http.Response) outcome.Answered {
 	return outcome.Answered{
 		Status:       resp.StatusCode,
-		CachedTokens: number(resp.Header.Get(HeaderCached)),
-		PromptTokens: number(resp.Header.Get(HeaderPrompt)),
+		CachedTokens: parseCount(resp.Header.Get(HeaderCached)),
+		PromptTokens: parseCount(resp.Header.Get(HeaderPrompt)),
 	}
 }
 
-func number(text string) int {
+// parseCount parses a decimal number; malformed ones are 0.
+func parseCount(text string) int {
 	n, err := strconv.Atoi(text)
 	if err != nil {
 		return 0
@@ -134,28 +135,28 @@
 
 var (
 	dataPrefix = []byte("data:")
-	doneMark   = []byte("[DONE]")
+	doneMarker = []byte("[DONE]")
 )
 
-// maxEventLine bounds one line of a stream.
+// maxEventLine bounds one line of a stream, in bytes.
 const maxEventLine = 1 << 20
 
-// stream passes events on line by line and holds back the end mark, so that
-// the caller sees it only of a whole answer. A stream that breaks is resumed on
-// its engine, which goes on with it for a while.
-func (c *Client) stream(ctx context.Context, x Exchange, resp *http.Response, stall *time.Timer) outcome.Attempt {
-	p := &streamPass{client: c, exchange: x, stall: stall}
-	for tries := 0; ; tries++ {
-		err := p.pass(resp)
+// forwardStream forwards a stream line by line. The caller gets the end marker only if the
+// stream is complete. A stream whose connection breaks is resumed on its engine, which keeps
+// generating it for a while.
+func (c *Client) forwardStream(ctx context.Context, x Exchange, resp *http.Response, stallTimer *time.Timer) outcome.Attempt {
+	forwarder := &streamForwarder{client: c, exchange: x, stallTimer: stallTimer}
+	for resumes := 0; ; resumes++ {
+		err := forwarder.forward(resp)
 		if err == nil {
-			return answered(resp)
+			return answeredResult(resp)
 		}
-		if errors.Is(err, errCaller) || ctx.Err() != nil || tries == maxResumes || !p.begun {
-			return c.failed(ctx, true, p.begun, err)
+		if errors.Is(err, errCallerWrite) || ctx.Err() != nil || resumes == maxResumes || !forwarder.headerSent {
+			return c.classifyError(ctx, true, forwarder.headerSent, err)
 		}
-		next, resumeErr := p.resume(ctx)
+		next, resumeErr := forwarder.resume(ctx)
 		if resumeErr != nil {
-			return c.failed(ctx, true, p.begun, errors.Wrap(err, resumeErr.Error()))
+			return c.classifyError(ctx, true, forwarder.headerSent, errors.Wrap(err, resumeErr.Error()))
 		}
 		defer closeBody(next)
 		c.Resumed.Add(1)
@@ -163,81 +164,81 @@
 	}
 }
 
-// maxResumes bounds how often one stream is taken up again.
+// maxResumes bounds how often one stream is resumed.
 const maxResumes = 2
 
-// streamPass is the passing on of one stream, over several connections if
-// need be.
-type streamPass struct {
-	client   *Client
-	exchange Exchange
-	stall    *time.Timer
-	begun    bool
-	// events counts the events passed on; open is true after an event's line
-	// until its blank line.
-	events int
-	open   bool
+// streamForwarder forwards one stream, which may be resumed on further connections.
+type streamForwarder struct {
+	client     *Client
+	exchange   Exchange
+	stallTimer *time.Timer
+	headerSent bool
+	// events is the number of events forwarded; inEvent is set between the first line of an
+	// event and the blank line that ends it.
+	events  int
+	inEvent bool
 }
 
-// pass hands lines to the caller until the end mark or an error.
-func (p *streamPass) pass(resp *http.Response) error {
+// forward copies lines to the caller until the end marker or an error.
+func (f *streamForwarder) forward(resp *http.Response) error {
 	lines := bufio.NewReaderSize(resp.Body, 4<<10)
 	for {
 		line, err := readLine(lines)
 		if err != nil {
 			return err
 		}
-		p.stall.Reset(p.client.options.StallTimeout)
-		if !p.begun {
-			if err := p.exchange.Sink.Begin(resp.StatusCode, resp.Header); err != nil {
-				return errCaller
+		f.stallTimer.Reset(f.client.options.StallTimeout)
+		if !f.headerSent {
+			if err := f.exchange.Sink.Begin(resp.StatusCode, resp.Header); err != nil {
+				return errCallerWrite
 			}
-			p.begun = true
+			f.headerSent = true
 		}
 		if isDone(line) {
-			// The target's answer is whole, whether the caller still reads it or not.
-			_ = p.exchange.Sink.Write([]byte("data: [DONE]\n\n"))
+			// The target ran the request, whether or not this write reaches the caller.
+			_ = f.exchange.Sink.Write([]byte("data: [DONE]\n\n"))
 			return nil
 		}
-		if err := p.exchange.Sink.Write(line); err != nil {
-			return errCaller
+		if err := f.exchange.Sink.Write(line); err != nil {
+			return errCallerWrite
 		}
-		p.count(line)
+		f.trackEvent(line)
 	}
 }
 
-func (p *streamPass) count(line []byte) {
+// trackEvent updates the position in the stream after a line was forwarded.
+func (f *streamForwarder) trackEvent(line []byte) {
 	if bytes.HasPrefix(line, dataPrefix) {
-		p.events++
+		f.events++
 	}
-	p.open = len(bytes.TrimSpace(line)) > 0
+	f.inEvent = len(bytes.TrimSpace(line)) > 0
 }
 
-// resume asks the engine for the rest of the stream, after the events that the
-// caller has.
-func (p *streamPass) resume(ctx context.Context) (*http.Response, error) {
-	x := p.exchange
+// resume requests the rest of the stream from the engine, after the events forwarded so far.
+func (f *streamForwarder) resume(ctx context.Context) (*http.Response, error) {
+	x := f.exchange
 	x.Method, x.Body, x.FreshConnection = http.MethodGet, nil, true
-	x.Path = PathStream + string(x.Request) + "?from=" + strconv.Itoa(p.events)
-	resp, _, err := p.client.send(ctx, x)
+	x.Path = PathStream + string(x.Request) + "?from=" + strconv.Itoa(f.events)
+	resp, _, err := f.client.send(ctx, x)
 	if err != nil {
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK || resp.Header.Get(HeaderRequestID) != string(x.Request) {
 		closeBody(resp)
-		return nil, errors.New("the engine does not resume it")
+		return nil, errors.New("engine did not resume the stream")
 	}
-	if p.open {
-		// The blank line that ends the last event was lost.
-		p.open = false
-		if err := p.exchange.Sink.Write([]byte("\n")); err != nil {
+	if f.inEvent {
+		// The connection broke before the blank line that ends the last event.
+		f.inEvent = false
+		if err := f.exchange.Sink.Write([]byte("\n")); err != nil {
 			closeBody(resp)
-			return nil, errCaller
+			return nil, errCallerWrite
 		}
 	}
 	return resp, nil
 }
 
+// readLine reads a line including its line feed. It bounds the line's length by maxEventLine.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
@@ -254,15 +255,14 @@
 
 func isDone(line []byte) bool {
 	rest, ok := bytes.CutPrefix(line, dataPrefix)
-	return ok && bytes.Equal(bytes.TrimSpace(rest), doneMark)
+	return ok && bytes.Equal(bytes.TrimSpace(rest), doneMarker)
 }
 
-// cancelTimeout bounds the word to an engine that its caller has left.
 const cancelTimeout = 2 * time.Second
 
-// cancel tells an engine that nobody waits for a stream any more; it would
-// keep it for a resume otherwise.
-func (c *Client) cancel(x Exchange) {
+// cancelStream tells an engine that the caller of a stream has disconnected. Otherwise the
+// engine would keep generating it for a resume.
+func (c *Client) cancelStream(x Exchange) {
 	ctx, done := context.WithTimeout(context.Background(), cancelTimeout)
 	defer done()
 	x.Method, x.Body, x.FreshConnection = http.MethodPost, nil, true
--- a/targets/targets_test.go
+++ b/targets/targets_test.go
@@ -25,9 +25,9 @@
 func (discard) Begin(int, http.Header) error { return nil }
 func (discard) Write([]byte) error           { return nil }
 
-// closer is a target that takes each request and closes the connection, or
-// answers the first one and closes the idle connection at the second.
-func closer(t *testing.T, answerFirst bool) (string, *atomic.Int32) {
+// startClosingTarget simulates a target that reads each request and closes the connection
+// without a response. With answerFirst it responds to the first request.
+func startClosingTarget(t *testing.T, answerFirst bool) (string, *atomic.Int32) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -46,7 +46,7 @@
 					if err != nil {
 						return
 					}
-					// An unread body would be taken for the next request.
+					// An unread body would be parsed as the next request.
 					_, _ = io.Copy(io.Discard, req.Body)
 					if seen.Add(1) > 1 || !answerFirst {
 						return
@@ -59,12 +59,12 @@
 	return l.Addr().String(), &seen
 }
 
-// TestNothingIsResentBelowUs breaks reused connections under every method and
-// with an Idempotency-Key: net/http would send such requests again.
-func TestNothingIsResentBelowUs(t *testing.T) {
+// TestTransportResendsNothing guards against the retries of net/http, which resends requests with
+// an idempotent method or an Idempotency-Key if a reused connection breaks.
+func TestTransportResendsNothing(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPut, http.MethodPost, http.MethodDelete} {
 		for _, body := range []string{"", "x"} {
-			address, seen := closer(t, true)
+			address, seen := startClosingTarget(t, true)
 			c := targets.NewClient(targets.Options{})
 			x := targets.Exchange{
 				Request: "r", Target: targets.Endpoint{Address: address}, Method: method, Path: "/", Body: []byte(body),
@@ -77,14 +77,16 @@
 	}
 }
 
-func TestUnreachableTargetWasNeverSentAnything(t *testing.T) {
+// TestUnreachableTargetIsReportedAsNeverSent guards against a failed dial that is reported as a
+// request that may have run.
+func TestUnreachableTargetIsReportedAsNeverSent(t *testing.T) {
 	c := targets.NewClient(targets.Options{})
 	x := targets.Exchange{Request: "r", Target: targets.Endpoint{Address: "127.0.0.1:1"}, Method: http.MethodPost, Path: "/", Sink: discard{}}
 	require.IsType(t, outcome.NeverSent{}, c.Do(context.Background(), x))
 }
 
-// TestOrdersAreFenced sends orders late, twice and with an old token, to
-// engines that check tokens and to those that do not.
+// TestOrdersAreFenced guards against orders that are applied late, twice or with an old fencing
+// token, at engines that check tokens and at engines that do not.
 func TestOrdersAreFenced(t *testing.T) {
 	c := targets.NewClient(targets.Options{})
 	order := func(e *standin.Engine, token uint64, action string, age time.Duration) error {
@@ -98,19 +100,20 @@
 		require.NoError(t, err)
 		defer e.Close()
 		require.NoError(t, order(e, 5, "load", -time.Minute))
-		require.NoError(t, order(e, 5, "load", -time.Minute), "a resent order is recognised by the engine's state")
+		require.NoError(t, order(e, 5, "load", -time.Minute), "a repeated order is skipped, as the engine's state shows its result")
 		require.Equal(t, 1, e.Stats().Orders)
-		require.Error(t, order(e, 6, "unload", time.Second), "an order that waited too long is not sent")
+		require.Error(t, order(e, 6, "unload", time.Second), "an expired order is not sent")
 		require.Equal(t, []string{"m1", "m2"}, e.Models())
 		if checks {
-			require.Error(t, order(e, 4, "unload", -time.Minute), "an old leader's order is refused")
+			require.Error(t, order(e, 4, "unload", -time.Minute), "the order of an earlier leader is rejected")
 			require.Equal(t, 1, e.Stats().StaleOrders)
 		}
 	}
 }
 
-// TestDecliningTargetIsTakenAtItsWord reads for how long a target asks for no requests.
-func TestDecliningTargetIsTakenAtItsWord(t *testing.T) {
+// TestDeclinedResponseCarriesRetryAfter guards against ignoring the backoff of a target that
+// declines a request.
+func TestDeclinedResponseCarriesRetryAfter(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(targets.HeaderRequestID, r.Header.Get(targets.HeaderRequestID))
 		w.Header().Set(targets.HeaderDeclined, "busy")
