--- a/callers/answers.go
+++ b/callers/answers.go
@@ -10,42 +10,43 @@
 )
 
 const (
-	// maxKept bounds the bytes of all answers kept, maxKeptOne those of one.
-	maxKept    = 4 << 20
-	maxKeptOne = 64 << 10
+	// maxCacheBytes bounds the bodies of all cached responses, maxCachedBody that of one, in
+	// bytes.
+	maxCacheBytes = 4 << 20
+	maxCachedBody = 64 << 10
 )
 
-// ResponseCache keeps the newest answers of requests that must not run twice, so that
-// a resend gets the answer instead of a second run. The zero value is empty.
+// ResponseCache holds the latest responses of requests with an idempotency key, so that a
+// retry under the same key gets the response and does not run again. The zero value is empty.
 type ResponseCache struct {
-	mu    sync.Mutex
-	kept  map[ident.Request]host.Answer
-	order []ident.Request
-	bytes int
+	mu        sync.Mutex
+	byRequest map[ident.Request]host.Answer
+	order     []ident.Request
+	bytes     int
 }
 
-// Add stores an answer; the oldest ones make room.
-func (k *ResponseCache) Add(id ident.Request, a host.Answer) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.kept == nil {
-		k.kept = map[ident.Request]host.Answer{}
+// Add stores a response and evicts the oldest ones beyond maxCacheBytes.
+func (c *ResponseCache) Add(id ident.Request, a host.Answer) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.byRequest == nil {
+		c.byRequest = map[ident.Request]host.Answer{}
 	}
-	k.kept[id] = a
-	k.order = append(k.order, id)
-	k.bytes += len(a.Body)
-	for k.bytes > maxKept {
-		k.bytes -= len(k.kept[k.order[0]].Body)
-		delete(k.kept, k.order[0])
-		k.order = k.order[1:]
+	c.byRequest[id] = a
+	c.order = append(c.order, id)
+	c.bytes += len(a.Body)
+	for c.bytes > maxCacheBytes {
+		c.bytes -= len(c.byRequest[c.order[0]].Body)
+		delete(c.byRequest, c.order[0])
+		c.order = c.order[1:]
 	}
 }
 
-// Get returns a kept answer, or nil.
-func (k *ResponseCache) Get(id ident.Request) *host.Answer {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if a, ok := k.kept[id]; ok {
+// Get returns the cached response of a request, or nil.
+func (c *ResponseCache) Get(id ident.Request) *host.Answer {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if a, ok := c.byRequest[id]; ok {
 		return &a
 	}
 	return nil
--- a/callers/api.go
+++ b/callers/api.go
@@ -1,16 +1,16 @@
 // Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
 
-// Package callers is the HTTP port for callers: inference in the form of the
-// OpenAI API, and plain services.
+// Package callers is the HTTP API for callers: inference in the format of the OpenAI API, and
+// plain services.
 //
 // # Usage
 //
 //	api := callers.New(callers.Deps{Core: core, Targets: client, Options: options})
 //	server := &http.Server{Handler: api.Handler()}
 //
-// The handler reads a request, hands its description to the core and does what
-// the core decides: try a target, or finish. Token bytes pass from target to
-// caller here and never through the core.
+// The handler parses a request, submits its description to the core and carries out the core's
+// decisions: dispatch to a target, or finish. Response bodies go directly from target to caller
+// and never through the core.
 package callers
 
 import (
@@ -38,23 +38,23 @@
 	HeaderNotRepeatable = "X-Yardhall-Not-Repeatable"
 	HeaderChatID        = "X-Yardhall-Chat"
 	HeaderTarget        = "X-Yardhall-Target"
-	// HeaderReplayed is true on the answer of an earlier request under the
-	// same key.
+	// HeaderReplayed is set to true on the cached response of an earlier request with the same
+	// idempotency key.
 	HeaderReplayed              = "X-Yardhall-Replayed"
 	HeaderIdempotencyKey        = "Idempotency-Key"
 	HeaderIdempotencyKeyCreated = "Idempotency-Key-Created"
 )
 
-// Core decides; it is the process's event loop.
+// Core decides on requests; the process's event loop implements it.
 type Core interface {
-	// Submit hands a request to the core. The channel yields host.Dispatch and
-	// last host.Finish.
+	// Submit starts a request. The channel yields any number of host.Dispatch and finally
+	// one host.Finish.
 	Submit(r host.Request) <-chan host.Effect
-	// ReportAttempt reports the end of an attempt.
+	// ReportAttempt reports the result of an attempt, or that the caller has left.
 	ReportAttempt(ev host.AttemptEnded)
-	// Config is the configuration in force.
+	// Config returns the configuration in force.
 	Config() config.Config
-	// Ready tells whether new requests should come here.
+	// Ready reports whether this host accepts new requests.
 	Ready() bool
 }
 
@@ -63,45 +63,50 @@
 	Do(ctx context.Context, x targets.Exchange) outcome.Attempt
 }
 
-// Options bound what callers may do.
+// Options are the settings of an API.
 type Options struct {
-	MaxBody      int64
+	// MaxBody bounds the body of a request, in bytes.
+	MaxBody int64
+	// WriteTimeout bounds each write to a caller; 0 means no timeout.
 	WriteTimeout time.Duration
-	MaxDuration  time.Duration
-	// Incarnation and Host make request ids unique.
+	// MaxDuration bounds a request, streams included; 0 means no limit.
+	MaxDuration time.Duration
+	// Host and Incarnation make request ids unique.
 	Host        ident.Host
 	Incarnation uint64
 }
 
-// Deps is what an API needs.
+// Deps are the dependencies of an API.
 type Deps struct {
 	Core    Core
 	Targets Doer
 	Options Options
-	// Responses keeps answers for resends; nil keeps none.
+	// Responses caches responses for retries with the same idempotency key; nil disables it.
 	Responses *ResponseCache
-	// Observe, where set, is told of each finished request.
+	// Observe, if not nil, is called for each finished request.
 	Observe func(Observation)
-	Now     func() time.Time
+	// Now returns the current time; nil means clock.Now.
+	Now func() time.Time
 }
 
-// Observation is what is measured of one request.
+// Observation describes a finished request, for metrics.
 type Observation struct {
-	Outcome         outcome.Kind
-	Duration        time.Duration
+	Outcome  outcome.Kind
+	Duration time.Duration
+	// TimeToFirstByte is 0 if no response was forwarded.
 	TimeToFirstByte time.Duration
 	CachedTokens    int
 	PromptTokens    int
 	Target          ident.Target
 }
 
-// API is the callers' port.
+// API serves the requests of callers.
 type API struct {
 	deps Deps
 	seq  atomic.Uint64
 }
 
-// New returns the callers' API.
+// New returns an API with the given dependencies.
 func New(d Deps) *API {
 	if d.Now == nil {
 		d.Now = clock.Now
@@ -112,19 +117,19 @@
 	return &API{deps: d}
 }
 
-// Handler returns the routes of the API.
+// Handler returns the handler of all routes.
 func (a *API) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
-	e.HTTPErrorHandler = a.onError
+	e.HTTPErrorHandler = a.handleError
 	e.GET("/healthz", func(c echo.Context) error { return c.String(http.StatusOK, "ok\n") })
 	e.GET("/readyz", a.readyz)
-	e.GET("/v1/models", a.models)
-	e.GET("/v1/models/:model", a.model)
-	e.POST("/v1/chat/completions", a.inference)
-	e.POST("/v1/completions", a.inference)
-	e.Any("/services/:service", a.plain)
-	e.Any("/services/:service/*", a.plain)
+	e.GET("/v1/models", a.listModels)
+	e.GET("/v1/models/:model", a.getModel)
+	e.POST("/v1/chat/completions", a.serveInference)
+	e.POST("/v1/completions", a.serveInference)
+	e.Any("/services/:service", a.servePlain)
+	e.Any("/services/:service/*", a.servePlain)
 	return e
 }
 
--- a/callers/errors.go
+++ b/callers/errors.go
@@ -17,24 +17,24 @@
 	"github.com/yardhall/yardhall/core/outcome"
 )
 
-// ErrorBody is the one form of all errors; it contains the fields that OpenAI
-// clients read.
+// ErrorBody is the JSON body of all error responses. It contains the fields that OpenAI clients
+// read.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what went wrong.
+// ErrorDetail describes an error.
 type ErrorDetail struct {
 	Message   string        `json:"message"`
 	Type      string        `json:"type"`
 	Code      host.Code     `json:"code"`
 	RequestID ident.Request `json:"request_id"`
 	Outcome   outcome.Kind  `json:"outcome"`
-	// EarlierRequest is the request that holds the idempotency key.
+	// EarlierRequest is the request that claimed the idempotency key first.
 	EarlierRequest ident.Request `json:"earlier_request,omitempty"`
 }
 
-// Codes of errors that never reach the core.
+// Codes of requests that are rejected before they are submitted to the core.
 const (
 	codeBadRequest host.Code = "invalid_request"
 	codeTooLarge   host.Code = "request_too_large"
@@ -69,7 +69,7 @@
 	}
 }
 
-func typeOf(status int) string {
+func errorType(status int) string {
 	switch {
 	case status == http.StatusUnauthorized:
 		return "authentication_error"
@@ -82,9 +82,9 @@
 	}
 }
 
-func bodyOf(id ident.Request, v host.Verdict) ErrorBody {
+func errorBody(id ident.Request, v host.Verdict) ErrorBody {
 	d := ErrorDetail{
-		Message: v.Reason, Type: typeOf(statusOf(v.Code)), Code: v.Code, RequestID: id, Outcome: v.Outcome,
+		Message: v.Reason, Type: errorType(statusOf(v.Code)), Code: v.Code, RequestID: id, Outcome: v.Outcome,
 	}
 	if v.Claim != nil {
 		d.EarlierRequest = v.Claim.Request
@@ -92,7 +92,7 @@
 	return ErrorBody{Error: d}
 }
 
-// writeVerdict answers with an error in the one form.
+// writeVerdict writes an error response.
 func writeVerdict(w http.ResponseWriter, id ident.Request, v host.Verdict) error {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -102,14 +102,14 @@
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(v.RetryAfter.Seconds()))))
 		h.Set("Retry-After-Ms", strconv.FormatInt(v.RetryAfter.Milliseconds(), 10))
 	}
-	// The caller decides about a repetition by the outcome, not its library.
+	// Without this header, OpenAI clients decide on retries by the status code.
 	h.Set("X-Should-Retry", strconv.FormatBool(v.Outcome == outcome.NotRun && v.RetryAfter > 0))
 	w.WriteHeader(statusOf(v.Code))
-	return errors.Wrap(json.NewEncoder(w).Encode(bodyOf(id, v)), "write error")
+	return errors.Wrap(json.NewEncoder(w).Encode(errorBody(id, v)), "write error response")
 }
 
-// onError answers requests that echo refuses, such as an unknown route.
-func (a *API) onError(err error, c echo.Context) {
+// handleError responds to requests that echo rejects, such as those without a route.
+func (a *API) handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
@@ -118,10 +118,11 @@
 	if errors.As(err, &he) && he.Code < http.StatusInternalServerError {
 		v.Code, v.Reason = codeNoRoute, "there is no such route"
 	}
-	_ = writeVerdict(c.Response(), a.newID(), v)
+	_ = writeVerdict(c.Response(), a.newRequestID(), v)
 }
 
-func (a *API) newID() ident.Request {
+// newRequestID returns an id that is unique in the fleet.
+func (a *API) newRequestID() ident.Request {
 	o := a.deps.Options
 	return ident.Request(string(o.Host) + "-" + strconv.FormatUint(o.Incarnation, idBase) + "-" +
 		strconv.FormatUint(a.seq.Add(1), idBase))
@@ -129,8 +130,8 @@
 
 const idBase = 36
 
-// clampDeadline bounds a caller's deadline.
-func (a *API) clampDeadline(d time.Duration) time.Duration {
+// clampTimeout bounds a caller's timeout by MaxDuration, which is also the default.
+func (a *API) clampTimeout(d time.Duration) time.Duration {
 	if limit := a.deps.Options.MaxDuration; limit > 0 && (d <= 0 || d > limit) {
 		return limit
 	}
--- a/callers/read.go
+++ b/callers/read.go
@@ -22,14 +22,14 @@
 	"github.com/yardhall/yardhall/core/outcome"
 )
 
-// Prompt is what routing reads of an inference request.
+// Prompt holds the properties of an inference request that routing depends on.
 type Prompt struct {
 	Model     string
 	Stream    bool
 	MaxTokens int64
-	// Chat identifies the chat: the caller's id, else its opening.
+	// Chat is the key of the chat, see chatKey.
 	Chat hash.Key
-	// EstimatedTokens is the estimate of tokens to prefill and decode.
+	// EstimatedTokens is the estimated number of tokens to prefill and decode.
 	EstimatedTokens int64
 }
 
@@ -49,15 +49,16 @@
 }
 
 const (
+	// bytesPerToken is the ratio by which prompt tokens are estimated.
 	bytesPerToken    = 4
 	defaultMaxTokens = 256
-	// openingBytes of a plain prompt identify its chat.
-	openingBytes = 512
-	roleUser     = "user"
+	// promptKeyBytes is the length of the prefix of a plain prompt that identifies its chat.
+	promptKeyBytes = 512
+	roleUser       = "user"
 )
 
-// ParsePrompt reads the body of an inference request. account keeps equal
-// chats of different accounts apart, chat is the caller's own id for the chat.
+// ParsePrompt parses the body of an inference request. account separates equal chats of
+// different accounts; chat is the caller's id of the chat, or empty.
 func ParsePrompt(body []byte, account, chat string) (Prompt, error) {
 	var b promptBody
 	if err := json.Unmarshal(body, &b); err != nil {
@@ -78,8 +79,9 @@
 	return p, nil
 }
 
-// chatKey returns the key that stays the same over the turns of a chat: the
-// caller's id of it, or the hash of its opening, which every turn repeats.
+// chatKey returns a key that is the same for all turns of a chat: a hash of the caller's id of
+// the chat if there is one, otherwise of the messages up to the first one of the user, which
+// every turn repeats.
 func chatKey(b promptBody, account, chat string) hash.Key {
 	if chat == "" {
 		chat = b.Metadata["chat_id"]
@@ -88,7 +90,7 @@
 		return hash.Of(account, b.Model, "id", chat)
 	}
 	if len(b.Messages) == 0 {
-		return hash.Of(account, b.Model, "prompt", string(b.Prompt[:min(len(b.Prompt), openingBytes)]))
+		return hash.Of(account, b.Model, "prompt", string(b.Prompt[:min(len(b.Prompt), promptKeyBytes)]))
 	}
 	parts := []string{account, b.Model, "opening"}
 	for _, m := range b.Messages {
@@ -100,7 +102,7 @@
 	return hash.Of(parts...)
 }
 
-// readBody reads a bounded body.
+// readBody reads the body up to the limit of the options.
 func (a *API) readBody(c echo.Context) ([]byte, *host.Verdict) {
 	limit := a.deps.Options.MaxBody
 	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, limit))
@@ -113,94 +115,95 @@
 			Outcome: outcome.NotRun, Code: codeTooLarge, Reason: "the body is larger than " + strconv.FormatInt(limit, 10) + " bytes",
 		}
 	}
-	return nil, bad("the body could not be read")
+	return nil, badRequest("the body could not be read")
 }
 
-func bad(reason string) *host.Verdict {
+// badRequest returns the verdict for a malformed request.
+func badRequest(reason string) *host.Verdict {
 	return &host.Verdict{Outcome: outcome.NotRun, Code: codeBadRequest, Reason: reason}
 }
 
-// read reads a request as far as all kinds have it in common.
-func (a *API) read(c echo.Context) ([]byte, host.Request, *host.Verdict) {
+// readRequest reads the body and parses the headers. The returned request always has an id,
+// also if there is a verdict.
+func (a *API) readRequest(c echo.Context) ([]byte, host.Request, *host.Verdict) {
 	body, verdict := a.readBody(c)
 	if verdict != nil {
-		return nil, host.Request{ID: a.newID()}, verdict
+		return nil, host.Request{ID: a.newRequestID()}, verdict
 	}
-	r, verdict := a.describe(c, body)
+	r, verdict := a.parseRequest(c, body)
 	return body, r, verdict
 }
 
-// describe reads the headers.
-func (a *API) describe(c echo.Context, body []byte) (host.Request, *host.Verdict) {
+// parseRequest parses the headers that inference and plain services have in common.
+func (a *API) parseRequest(c echo.Context, body []byte) (host.Request, *host.Verdict) {
 	h := c.Request().Header
 	r := host.Request{
-		ID: a.newID(), KeyHash: keys.Hash(keys.Bearer(h.Get("Authorization"))),
+		ID: a.newRequestID(), KeyHash: keys.Hash(keys.Bearer(h.Get("Authorization"))),
 		Class: ident.Class(h.Get(HeaderClass)), IdempotencyKey: h.Get(HeaderIdempotencyKey),
 		Path: strings.TrimPrefix(c.Request().URL.Path, "/services/"+c.Param("service")),
 	}
-	limit, verdict := a.readDeadline(h)
+	limit, verdict := a.parseTimeout(h)
 	if verdict != nil {
 		return r, verdict
 	}
 	r.Deadline = a.deps.Now().Add(limit)
 	if text := h.Get(HeaderNotRepeatable); text != "" {
-		once, err := strconv.ParseBool(text)
+		atMostOnce, err := strconv.ParseBool(text)
 		if err != nil {
-			return r, bad(HeaderNotRepeatable + " must be true or false")
+			return r, badRequest(HeaderNotRepeatable + " must be true or false")
 		}
-		r.AtMostOnce = once
+		r.AtMostOnce = atMostOnce
 	}
 	r.Digest = xxhash.Sum64String(c.Request().Method + " " + c.Request().RequestURI + "\n" + string(body))
-	return r, readKeyTime(h, &r)
+	return r, parseKeyTime(h, &r)
 }
 
-func (a *API) readDeadline(h http.Header) (time.Duration, *host.Verdict) {
+// parseTimeout returns the time until the deadline that the caller requests.
+func (a *API) parseTimeout(h http.Header) (time.Duration, *host.Verdict) {
 	text := h.Get(HeaderDeadline)
 	if text == "" {
-		return a.clampDeadline(0), nil
+		return a.clampTimeout(0), nil
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d <= 0 {
-		return 0, bad(HeaderDeadline + " must be a time above 0 such as 1500ms")
+		return 0, badRequest(HeaderDeadline + " must be a time above 0 such as 1500ms")
 	}
-	return a.clampDeadline(d), nil
+	return a.clampTimeout(d), nil
 }
 
 const maxKeyLen = 256
 
-// readKeyTime finds when an idempotency key was made: from the header, or from
-// the key itself where it is a UUID with a time (version 7). A key without a
-// time is no use for a request that must not run twice, as a late resend could
-// not be told from a new request.
-func readKeyTime(h http.Header, r *host.Request) *host.Verdict {
+// parseKeyTime sets the creation time of the idempotency key, from the header or from a version
+// 7 UUID. Without a creation time, a late retry could not be distinguished from a new request.
+func parseKeyTime(h http.Header, r *host.Request) *host.Verdict {
 	if len(r.IdempotencyKey) > maxKeyLen {
-		return bad(HeaderIdempotencyKey + " is too long")
+		return badRequest(HeaderIdempotencyKey + " is too long")
 	}
 	if text := h.Get(HeaderIdempotencyKeyCreated); text != "" {
 		seconds, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || seconds <= 0 {
-			return bad(HeaderIdempotencyKeyCreated + " must be a Unix time in seconds")
+			return badRequest(HeaderIdempotencyKeyCreated + " must be a Unix time in seconds")
 		}
 		r.KeyCreated = time.Unix(seconds, 0)
-		// The time is part of the key, so that it cannot be moved by a resend.
+		// The time becomes part of the key, so that a retry cannot change it.
 		if r.IdempotencyKey != "" {
 			r.IdempotencyKey += "@" + text
 		}
 		return nil
 	}
-	if id, err := uuid.Parse(r.IdempotencyKey); err == nil && id.Version() == timeUUID {
+	if id, err := uuid.Parse(r.IdempotencyKey); err == nil && id.Version() == uuidV7 {
 		seconds, nanos := id.Time().UnixTime()
 		r.KeyCreated = time.Unix(seconds, nanos)
 	}
 	return nil
 }
 
-const timeUUID = 7
+const uuidV7 = 7
 
-// checkKey refuses requests of unknown accounts that the core does not see.
-func (a *API) checkKey(c echo.Context) *host.Verdict {
-	hash := keys.Hash(keys.Bearer(c.Request().Header.Get("Authorization")))
-	if _, ok := a.deps.Core.Config().AccountByKey(hash); ok {
+// checkAPIKey rejects unknown API keys on routes that do not submit a request to the core.
+func (a *API) checkAPIKey(c echo.Context) *host.Verdict {
+	keyHash := keys.Hash(keys.Bearer(c.Request().Header.Get("Authorization")))
+	if _, ok := a.deps.Core.Config().AccountByKey(keyHash); ok {
 		return nil
 	}
 	return &host.Verdict{Outcome: outcome.NotRun, Code: host.CodeInvalidAPIKey, Reason: "the API key is not known"}
--- a/callers/read_test.go
+++ b/callers/read_test.go
@@ -11,7 +11,9 @@
 	"github.com/yardhall/yardhall/callers"
 )
 
-func TestChatKeyStaysOverTurnsAndDiffersByAccount(t *testing.T) {
+// TestChatKeyIsStableAcrossTurnsAndUniquePerAccount guards against turns of one chat that are routed
+// as different chats, and against equal chats of two accounts that are routed as one.
+func TestChatKeyIsStableAcrossTurnsAndUniquePerAccount(t *testing.T) {
 	turn := func(rest string) callers.Prompt {
 		p, err := callers.ParsePrompt(fmt.Appendf(nil, `{"model":"m","messages":[{"role":"system","content":"s"},{"role":"user","content":"hi"}%s]}`, rest), "a", "")
 		require.NoError(t, err)
@@ -28,13 +30,15 @@
 	require.NotEqual(t, first.Chat, named.Chat)
 }
 
-func TestBadPromptsAreRefused(t *testing.T) {
+// TestInvalidPromptsAreRejected guards against bodies without a model or a prompt that reach a target.
+func TestInvalidPromptsAreRejected(t *testing.T) {
 	for _, body := range []string{"", "[]", "{}", `{"model":"m"}`, `{"messages":[{}]}`, `{"model":1}`} {
 		_, err := callers.ParsePrompt([]byte(body), "a", "")
 		require.Error(t, err, body)
 	}
 }
 
+// FuzzParsePrompt guards against panics on malformed bodies and prompts without a model or chat key.
 func FuzzParsePrompt(f *testing.F) {
 	f.Add([]byte(`{"model":"m","prompt":"x","max_tokens":3}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
--- a/callers/serve.go
+++ b/callers/serve.go
@@ -19,27 +19,26 @@
 	"github.com/yardhall/yardhall/targets"
 )
 
-// inference serves the model routes.
-func (a *API) inference(c echo.Context) error {
-	body, r, verdict := a.read(c)
+// serveInference serves chat and text completions.
+func (a *API) serveInference(c echo.Context) error {
+	body, r, verdict := a.readRequest(c)
 	if verdict != nil {
 		return writeVerdict(c.Response(), r.ID, *verdict)
 	}
 	p, err := ParsePrompt(body, r.KeyHash, c.Request().Header.Get(HeaderChatID))
 	if err != nil {
-		return writeVerdict(c.Response(), r.ID, *bad(err.Error()))
+		return writeVerdict(c.Response(), r.ID, *badRequest(err.Error()))
 	}
 	r.Model, r.Chat, r.Work, r.Path = ident.Model(p.Model), p.Chat, p.EstimatedTokens, c.Request().URL.Path
-	return a.run(c, r, targets.Exchange{
+	return a.runRequest(c, r, targets.Exchange{
 		Request: r.ID, Method: http.MethodPost, Path: c.Request().URL.Path, Body: body, Streamed: p.Stream,
 		Header: http.Header{"Content-Type": {"application/json"}},
 	})
 }
 
-// plain serves plain services: method, path below the service, query, body and
-// headers are passed on.
-func (a *API) plain(c echo.Context) error {
-	body, r, verdict := a.read(c)
+// servePlain forwards a request to a plain service, with the path below the service's own.
+func (a *API) servePlain(c echo.Context) error {
+	body, r, verdict := a.readRequest(c)
 	if verdict != nil {
 		return writeVerdict(c.Response(), r.ID, *verdict)
 	}
@@ -48,45 +47,48 @@
 	if q := c.Request().URL.RawQuery; q != "" {
 		path += "?" + q
 	}
-	return a.run(c, r, targets.Exchange{
-		Request: r.ID, Method: c.Request().Method, Path: path, Body: body, Header: forwarded(c.Request().Header),
+	return a.runRequest(c, r, targets.Exchange{
+		Request: r.ID, Method: c.Request().Method, Path: path, Body: body, Header: requestHeader(c.Request().Header),
 	})
 }
 
-// kept are headers that end at the router: those of the connection, of the
-// account, and those by which net/http would take a request as safe to repeat.
-var kept = []string{
+// strippedRequestHeaders are not forwarded: hop-by-hop headers, credentials, and the
+// idempotency keys by which net/http would consider a request safe to resend.
+var strippedRequestHeaders = []string{
 	"Authorization", "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Accept-Encoding", "X-Idempotency-Key", HeaderIdempotencyKey, HeaderIdempotencyKeyCreated,
 }
 
-func forwarded(in http.Header) http.Header {
+// requestHeader returns the headers of a caller's request that are forwarded to the target.
+func requestHeader(in http.Header) http.Header {
 	out := in.Clone()
 	for _, name := range strings.Split(in.Get("Connection"), ",") {
 		out.Del(strings.TrimSpace(name))
 	}
-	for _, name := range kept {
+	for _, name := range strippedRequestHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// run takes a request through the core: tries what it dispatches, ends as it
-// says.
-func (a *API) run(c echo.Context, r host.Request, x targets.Exchange) error {
-	begun := a.deps.Now()
+// runRequest executes a request. It rejects one that must not run twice and whose idempotency
+// key has no creation time.
+func (a *API) runRequest(c echo.Context, r host.Request, x targets.Exchange) error {
+	startedAt := a.deps.Now()
 	if !r.AtMostOnce || r.IdempotencyKey == "" || !r.KeyCreated.IsZero() {
-		return a.follow(c, r, x, begun)
+		return a.execute(c, r, x, startedAt)
 	}
-	return writeVerdict(c.Response(), r.ID, *bad("the key of a request that must not run twice needs a time: use a UUID of version 7 or " + HeaderIdempotencyKeyCreated))
+	return writeVerdict(c.Response(), r.ID, *badRequest("the key of a request that must not run twice needs a time: use a UUID of version 7 or " + HeaderIdempotencyKeyCreated))
 }
 
-func (a *API) follow(c echo.Context, r host.Request, x targets.Exchange, begun time.Time) error {
+// execute submits a request to the core and carries out its decisions. If the caller
+// disconnects between attempts, it reports that and waits for the core to finish the request.
+func (a *API) execute(c echo.Context, r host.Request, x targets.Exchange, startedAt time.Time) error {
 	ctx, cancel := context.WithDeadline(c.Request().Context(), clock.Real(r.Deadline))
 	defer cancel()
-	s := &sink{w: c.Response(), api: a, id: r.ID, streamed: x.Streamed, begun: begun}
+	s := &sink{w: c.Response(), api: a, id: r.ID, streamed: x.Streamed, startedAt: startedAt}
 	x.Sink = s
-	s.keep = r.IdempotencyKey != "" && a.deps.Responses != nil
+	s.cacheable = r.IdempotencyKey != "" && a.deps.Responses != nil
 	effects := a.deps.Core.Submit(r)
 	var last outcome.Attempt
 	for {
@@ -98,52 +100,54 @@
 				last = a.attempt(ctx, x, e)
 				a.deps.Core.ReportAttempt(host.AttemptEnded{Request: r.ID, Attempt: e.Attempt, Result: last})
 			case host.Finish:
-				if s.keep && s.started && e.Verdict.Outcome == outcome.Ran {
-					a.deps.Responses.Add(r.ID, s.copy)
+				if s.cacheable && s.headerSent && e.Verdict.Outcome == outcome.Ran {
+					a.deps.Responses.Add(r.ID, s.cached)
 				}
-				a.observe(e.Verdict, last, s, begun)
+				a.observe(e.Verdict, last, s, startedAt)
 				return s.finish(e.Verdict)
 			}
 		case <-c.Request().Context().Done():
 			a.deps.Core.ReportAttempt(host.AttemptEnded{Request: r.ID, Result: outcome.Abandoned{}})
-			return a.drain(effects, s, begun)
+			return a.awaitFinish(effects, s, startedAt)
 		}
 	}
 }
 
-// drain waits for the core's word on a request whose caller has left.
-func (a *API) drain(effects <-chan host.Effect, s *sink, begun time.Time) error {
+// awaitFinish waits until the core finishes a request whose caller has disconnected.
+func (a *API) awaitFinish(effects <-chan host.Effect, s *sink, startedAt time.Time) error {
 	for e := range effects {
 		if f, ok := e.(host.Finish); ok {
-			a.observe(f.Verdict, nil, s, begun)
+			a.observe(f.Verdict, nil, s, startedAt)
 			return nil
 		}
 	}
 	return nil
 }
 
+// attempt sends the request to the target of d. A passed deadline counts as a broken attempt,
+// not as a disconnected caller.
 func (a *API) attempt(ctx context.Context, x targets.Exchange, d host.Dispatch) outcome.Attempt {
 	x.Target = targets.Endpoint{ID: d.Target.ID, Address: d.Target.Address}
 	x.FreshConnection = d.AtMostOnce
 	x.Header = x.Header.Clone()
 	x.Header.Set(targets.HeaderPriority, strconv.Itoa(d.Rank))
 	result := a.deps.Targets.Do(ctx, x)
-	if _, gone := result.(outcome.Abandoned); gone && errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return outcome.Broken{Reason: "the deadline passed", Begun: true}
+	if _, abandoned := result.(outcome.Abandoned); abandoned && errors.Is(ctx.Err(), context.DeadlineExceeded) {
+		return outcome.Broken{Reason: "deadline exceeded", Begun: true}
 	}
 	return result
 }
 
-func (a *API) observe(v host.Verdict, last outcome.Attempt, s *sink, begun time.Time) {
-	o := Observation{Outcome: v.Outcome, Duration: a.deps.Now().Sub(begun), TimeToFirstByte: s.first, Target: s.target}
+func (a *API) observe(v host.Verdict, last outcome.Attempt, s *sink, startedAt time.Time) {
+	o := Observation{Outcome: v.Outcome, Duration: a.deps.Now().Sub(startedAt), TimeToFirstByte: s.timeToFirstByte, Target: s.target}
 	if answered, ok := last.(outcome.Answered); ok {
 		o.CachedTokens, o.PromptTokens = answered.CachedTokens, answered.PromptTokens
 	}
 	a.deps.Observe(o)
 }
 
-// passed returns the headers of a target's answer that go on to the caller.
-func passed(in http.Header) http.Header {
+// responseHeader returns the headers of a target's response that are forwarded to the caller.
+func responseHeader(in http.Header) http.Header {
 	out := in.Clone()
 	for _, name := range []string{"Connection", "Keep-Alive", "Trailer", "Transfer-Encoding", "Content-Length", "Upgrade"} {
 		out.Del(name)
@@ -163,9 +167,9 @@
 	OwnedBy ident.Service `json:"owned_by"`
 }
 
-func (a *API) models(c echo.Context) error {
-	if v := a.checkKey(c); v != nil {
-		return writeVerdict(c.Response(), a.newID(), *v)
+func (a *API) listModels(c echo.Context) error {
+	if v := a.checkAPIKey(c); v != nil {
+		return writeVerdict(c.Response(), a.newRequestID(), *v)
 	}
 	list := modelList{Object: "list", Data: []modelInfo{}}
 	for _, m := range a.deps.Core.Config().Models.All() {
@@ -174,13 +178,13 @@
 	return c.JSON(http.StatusOK, list)
 }
 
-func (a *API) model(c echo.Context) error {
-	if v := a.checkKey(c); v != nil {
-		return writeVerdict(c.Response(), a.newID(), *v)
+func (a *API) getModel(c echo.Context) error {
+	if v := a.checkAPIKey(c); v != nil {
+		return writeVerdict(c.Response(), a.newRequestID(), *v)
 	}
 	m, ok := a.deps.Core.Config().Models.Get(ident.Model(c.Param("model")))
 	if !ok {
-		return writeVerdict(c.Response(), a.newID(), host.Verdict{
+		return writeVerdict(c.Response(), a.newRequestID(), host.Verdict{
 			Outcome: outcome.NotRun, Code: host.CodeModelNotFound, Reason: "the model does not exist",
 		})
 	}
--- a/callers/sink.go
+++ b/callers/sink.go
@@ -16,50 +16,50 @@
 	"github.com/yardhall/yardhall/core/outcome"
 )
 
-// sink writes one answer to the caller.
+// sink writes one response to the caller.
 type sink struct {
-	w        *echo.Response
-	api      *API
-	id       ident.Request
-	target   ident.Target
-	streamed bool
-	started  bool
-	begun    time.Time
-	first    time.Duration
-	// keep copies the answer for resends, up to maxKeptOne bytes.
-	keep bool
-	copy host.Answer
+	w               *echo.Response
+	api             *API
+	id              ident.Request
+	target          ident.Target
+	streamed        bool
+	headerSent      bool
+	startedAt       time.Time
+	timeToFirstByte time.Duration
+	// cacheable is set while the response is to be cached. It is cleared once the body exceeds
+	// maxCachedBody.
+	cacheable bool
+	cached    host.Answer
 }
 
 // Begin implements targets.Sink.
 func (s *sink) Begin(status int, header http.Header) error {
 	h := s.w.Header()
-	for name, values := range passed(header) {
+	for name, values := range responseHeader(header) {
 		h[name] = slices.Clone(values)
 	}
 	h.Set(HeaderRequestID, string(s.id))
 	h.Set(HeaderTarget, string(s.target))
 	if s.streamed && status == http.StatusOK {
-		// How a stream ends is known only then: it stands in the trailer.
+		// The outcome of a stream is known only at its end, so it is sent in the trailer.
 		h.Set("Trailer", HeaderOutcome)
 	} else {
 		h.Set(HeaderOutcome, string(outcome.Ran))
 	}
-	s.first = s.api.deps.Now().Sub(s.begun)
-	s.started = true
-	s.copy = host.Answer{Status: status, ContentType: h.Get("Content-Type")}
+	s.timeToFirstByte = s.api.deps.Now().Sub(s.startedAt)
+	s.headerSent = true
+	s.cached = host.Answer{Status: status, ContentType: h.Get("Content-Type")}
 	s.w.WriteHeader(status)
 	return nil
 }
 
-// Write implements targets.Sink; a caller that takes no bytes for too long is
-// cut.
+// Write implements targets.Sink. It fails if the caller accepts no bytes within WriteTimeout.
 func (s *sink) Write(p []byte) error {
 	control := http.NewResponseController(s.w.Writer)
-	if stall := s.api.deps.Options.WriteTimeout; stall > 0 {
-		_ = control.SetWriteDeadline(time.Now().Add(stall))
+	if timeout := s.api.deps.Options.WriteTimeout; timeout > 0 {
+		_ = control.SetWriteDeadline(time.Now().Add(timeout))
 	}
-	s.remember(p)
+	s.record(p)
 	if _, err := s.w.Write(p); err != nil {
 		return errors.Wrap(err, "write to caller")
 	}
@@ -69,13 +69,14 @@
 	return nil
 }
 
-func (s *sink) remember(p []byte) {
-	if s.keep = s.keep && len(s.copy.Body)+len(p) <= maxKeptOne; s.keep {
-		s.copy.Body = append(s.copy.Body, p...)
+// record appends to the copy of the response for the cache.
+func (s *sink) record(p []byte) {
+	if s.cacheable = s.cacheable && len(s.cached.Body)+len(p) <= maxCachedBody; s.cacheable {
+		s.cached.Body = append(s.cached.Body, p...)
 	}
 }
 
-// replay gives the answer of an earlier request under the same key.
+// replay writes the cached response of an earlier request with the same idempotency key.
 func (s *sink) replay(a host.Answer) error {
 	h := s.w.Header()
 	h.Set("Content-Type", a.ContentType)
@@ -84,17 +85,17 @@
 	h.Set(HeaderReplayed, "true")
 	s.w.WriteHeader(a.Status)
 	_, err := s.w.Write(a.Body)
-	return errors.Wrap(err, "replay answer")
+	return errors.Wrap(err, "replay response")
 }
 
-// finish tells the caller how the request ended. A stream that broke ends with
-// an error event and without the end mark.
+// finish completes the response according to the verdict. A broken stream ends with an error
+// event and without the end marker.
 func (s *sink) finish(v host.Verdict) error {
 	defer func() { _ = http.NewResponseController(s.w.Writer).SetWriteDeadline(time.Time{}) }()
-	if !s.started && v.Answer != nil {
+	if !s.headerSent && v.Answer != nil {
 		return s.replay(*v.Answer)
 	}
-	if !s.started {
+	if !s.headerSent {
 		return writeVerdict(s.w, s.id, v)
 	}
 	if !s.streamed {
@@ -104,11 +105,11 @@
 	if v.Outcome == outcome.Ran {
 		return nil
 	}
-	text, err := json.Marshal(bodyOf(s.id, v))
+	text, err := json.Marshal(errorBody(s.id, v))
 	if err != nil {
 		return errors.Wrap(err, "encode error")
 	}
-	// The stream ends here, whether the caller still reads it or not.
+	// The request is finished, whether or not this write reaches the caller.
 	_ = s.Write([]byte("event: error\ndata: " + string(text) + "\n\n"))
 	return nil
 }
