--- a/core/host/capacity_test.go
+++ b/core/host/capacity_test.go
@@ -200,7 +200,7 @@
 							{ID: "system", Tokens: 500}, {ID: fmt.Sprint(i % 30), Tokens: 9000}, {ID: "own", Tokens: 900},
 						}},
 					}}, now)
-					s, _ = requests.Reduce(s, requests.AttemptEnded{Request: id, Attempt: 1, Result: outcome.Answered{Status: 200}, Wanted: true}, now)
+					s, _ = requests.Reduce(s, requests.AttemptEnded{Request: id, Attempt: 1, Result: outcome.Answered{Status: 200}, CallerWaiting: true}, now)
 				}
 			})
 		}),
@@ -268,7 +268,7 @@
 		Shares: []config.Share{{Pool: "pool", Weight: 1}}, MaxAttempts: 2,
 	})
 	g.Keys = []config.KeyOwner{{Account: "a", KeyHashes: []string{"k"}}}
-	s := requests.New(requests.Settings{Zone: "z"}).WithConfig(g)
+	s := requests.New(requests.Settings{Zone: "z"}).WithRouteTable(g)
 	workers := make([]registry.Worker, 0, n)
 	for i := range n {
 		workers = append(workers, registry.Worker{ID: ident.Target(fmt.Sprintf("i-%010x", i*7919)), Pool: "pool", Zone: "z", Address: fmt.Sprintf("10.1.%d.%d:80", i/250, i%250), Slots: 64, Seq: 1})
--- a/core/host/crashes.go
+++ b/core/host/crashes.go
@@ -69,7 +69,7 @@
 
 // crashesSeen counts the crashes to be reported.
 func (t *transition) crashesSeen() uint64 {
-	return t.requests.Crashes().Seen + t.crashes.clients.Seen + t.crashes.observer.Reports().Seen
+	return t.requests.CrashReports().Seen + t.crashes.clients.Seen + t.crashes.observer.Reports().Seen
 }
 
 // crashReportDue tells whether this host polls early, as it has seen a worker end.
@@ -121,7 +121,7 @@
 // crashReport are the crashes seen lately, here or at the clients of this hub.
 func (t *transition) crashReport() []CrashReport {
 	t.crashes.reported = t.crashesSeen()
-	all := t.requests.Crashes().Lately(t.now)
+	all := t.requests.CrashReports().Lately(t.now)
 	all = append(all, t.crashes.clients.Lately(t.now)...)
 	all = append(all, t.crashes.observer.Reports().Lately(t.now)...)
 	out := make([]CrashReport, 0, len(all))
--- a/core/host/crashfleet_test.go
+++ b/core/host/crashfleet_test.go
@@ -176,7 +176,7 @@
 
 func (f *crashFleet) ended(d dispatched, result outcome.Attempt) {
 	f.reduce(d.host, host.RequestEvent{Event: requests.AttemptEnded{
-		Request: d.request, Attempt: d.attempt, Result: result, Wanted: true,
+		Request: d.request, Attempt: d.attempt, Result: result, CallerWaiting: true,
 	}})
 }
 
--- a/core/host/fallback.go
+++ b/core/host/fallback.go
@@ -71,7 +71,7 @@
 
 // fallbackPeersToPoll are the entry hosts to poll now; none while confirmations come.
 func (t *transition) fallbackPeersToPoll() []ident.Host {
-	confirmed := t.requests.Confirmed()
+	confirmed := t.requests.Confirmation()
 	if confirmed.Never() || confirmed.Age(t.now) < fallbackAfter || t.pollsHubs() {
 		return nil
 	}
--- a/core/host/follow.go
+++ b/core/host/follow.go
@@ -248,7 +248,7 @@
 	}
 	hostsMoved := t.config.Hosts != cfg.Hosts
 	t.config = cfg
-	t.requests = t.requests.WithConfig(cfg.Gateway)
+	t.requests = t.requests.WithRouteTable(cfg.Gateway)
 	t.noteNewestTable(cfg.Version)
 	t.rememberTable(cfg)
 	t.counters.ConfigApplied++
--- a/core/host/host.go
+++ b/core/host/host.go
@@ -120,7 +120,7 @@
 func New(s Settings, seed uint64, now time.Time) State {
 	return State{
 		settings: s, seed: seed, started: now, budget: maxBudget,
-		requests: requests.New(s.Requests).WithStart(now),
+		requests: requests.New(s.Requests).WithStartedAt(now),
 	}
 }
 
--- a/core/host/hub.go
+++ b/core/host/hub.go
@@ -129,7 +129,7 @@
 func (t *transition) hubReply(r PollReply, m Poll) PollReply {
 	r.Leader, r.Hosts, r.Replicas = t.seeded.leaderContact, t.seeded.hosts, t.seeded.replicas
 	r.Cut = !t.replicaRepliedWithin(hubTimeout)
-	if confirmed := t.requests.Confirmed(); !confirmed.Never() {
+	if confirmed := t.requests.Confirmation(); !confirmed.Never() {
 		r.Age = confirmed.Age(t.now)
 		r.Fresh = r.Age < replicaTimeout
 	}
--- a/core/host/hub_test.go
+++ b/core/host/hub_test.go
@@ -54,7 +54,7 @@
 		if f.down[id] || len(but) > 0 && but[0] == id {
 			continue
 		}
-		require.EqualValues(t, number, f.states[id].Requests().Number(), "entry %d", i)
+		require.EqualValues(t, number, f.states[id].Requests().TableNumber(), "entry %d", i)
 		require.True(t, f.states[id].Ready(), "entry %d", i)
 		require.IsType(t, requests.Dispatch{}, f.ask(id, "/x/1", "k"), "entry %d", i)
 	}
--- a/core/host/inforce_test.go
+++ b/core/host/inforce_test.go
@@ -157,7 +157,7 @@
 						// It takes the place of none, so nobody serves by an older one.
 						break
 					}
-					require.EqualValues(t, number, f.states[entryName(i)].Requests().Number(), "entry %d", i)
+					require.EqualValues(t, number, f.states[entryName(i)].Requests().TableNumber(), "entry %d", i)
 				}
 				f.run(time.Second)
 			}
--- a/core/host/loads_test.go
+++ b/core/host/loads_test.go
@@ -43,7 +43,7 @@
 	}
 	for _, d := range sent[:3] {
 		f.reduce(entryName(0), host.RequestEvent{Event: requests.AttemptEnded{
-			Request: d.Request, Attempt: d.Attempt, Result: outcome.Answered{Status: 200}, Wanted: true,
+			Request: d.Request, Attempt: d.Attempt, Result: outcome.Answered{Status: 200}, CallerWaiting: true,
 		}})
 	}
 	f.run(2 * time.Second)
@@ -56,7 +56,7 @@
 	d, ok := f.ask(at, "/x/1", "k").(requests.Dispatch)
 	require.True(f.t, ok)
 	f.reduce(at, host.RequestEvent{Event: requests.AttemptEnded{
-		Request: d.Request, Attempt: d.Attempt, Result: outcome.Answered{Status: 200}, Wanted: true,
+		Request: d.Request, Attempt: d.Attempt, Result: outcome.Answered{Status: 200}, CallerWaiting: true,
 	}})
 	return d.Inputs.Load
 }
--- a/core/host/pollreply.go
+++ b/core/host/pollreply.go
@@ -45,7 +45,7 @@
 	t.noteNewestTable(m.Version)
 	if m.Hosts > 0 {
 		t.seeded.hosts = m.Hosts
-		t.requests = t.requests.WithHosts(m.Hosts)
+		t.requests = t.requests.WithHostCount(m.Hosts)
 	}
 	if known {
 		t.takeConfirmation(m, sent)
@@ -102,7 +102,7 @@
 	case s.newerKnownAt.IsZero():
 		s.newerKnownAt = t.now
 	}
-	t.requests = t.requests.WithNewerKnown(!s.newerKnownAt.IsZero())
+	t.requests = t.requests.WithNewerTableKnown(!s.newerKnownAt.IsZero())
 }
 
 // followLeader turns to the leader that the leader contact knows of. A contact that knows
--- a/core/host/relay.go
+++ b/core/host/relay.go
@@ -78,7 +78,7 @@
 	if !relay.SaysNothingNew(w, known, ok) || t.draining || t.seeded.hub.serves {
 		return false
 	}
-	if !t.seeded.relay.HasRoom(w.ID, t.requests.KnownWorkers(), t.seeded.hosts) {
+	if !t.seeded.relay.HasRoom(w.ID, t.requests.WorkerCount(), t.seeded.hosts) {
 		return false
 	}
 	contact := relay.Contact{InTouch: t.replicaRepliedWithin(relay.ReplicaTimeout), Ever: t.replicaEverReplied()}
@@ -119,7 +119,7 @@
 	t.seeded.relay = next
 	out := map[ident.Host][]registry.Worker{}
 	for _, w := range workers {
-		to := t.requests.ReportedBy(w.ID)
+		to := t.requests.RegistrationSource(w.ID)
 		if c, ok := t.seeded.contacts.Get(to); !ok || c.lost || !slices.Contains(polled, to) {
 			to = t.heartbeatReceiver()
 		}
--- a/core/host/replaced.go
+++ b/core/host/replaced.go
@@ -25,10 +25,10 @@
 // replacedReport are the workers found replaced lately, here or at the clients of this hub.
 func (t *transition) replacedReport() []ReplacedWorker {
 	all := t.seeded.replacements
-	for _, one := range t.requests.Replaced().Lately(t.now) {
+	for _, one := range t.requests.Replacements().Recent(t.now) {
 		all = all.With(one, t.now)
 	}
-	lately := all.Lately(t.now)
+	lately := all.Recent(t.now)
 	out := make([]ReplacedWorker, 0, len(lately))
 	for _, one := range lately {
 		out = append(out, ReplacedWorker{Worker: one.Worker, Born: one.Born, Age: t.now.Sub(one.SeenAt)})
@@ -42,7 +42,7 @@
 		seenAt := t.now.Add(-max(0, r.Age))
 		if !t.settings.IsReplica() {
 			// Only who hears the worker's heartbeats can tell that it lives after all.
-			one := requests.Replaced{Worker: r.Worker, Born: r.Born, SeenAt: seenAt}
+			one := requests.Replacement{Worker: r.Worker, Born: r.Born, SeenAt: seenAt}
 			t.seeded.replacements = t.seeded.replacements.With(one, t.now)
 			continue
 		}
--- a/core/host/replaced_test.go
+++ b/core/host/replaced_test.go
@@ -34,7 +34,7 @@
 		sent, ok := f.ask(finder, "/x/1", "k").(requests.Dispatch)
 		require.True(t, ok)
 		f.reduce(finder, host.RequestEvent{Event: requests.AttemptEnded{
-			Request: sent.Request, Attempt: sent.Attempt, Result: outcome.Declined{Leaving: true}, Wanted: true,
+			Request: sent.Request, Attempt: sent.Attempt, Result: outcome.Declined{Leaving: true}, CallerWaiting: true,
 		}})
 		f.run(2 * time.Second)
 		for i := range entries {
--- a/core/host/seeded.go
+++ b/core/host/seeded.go
@@ -94,7 +94,7 @@
 		t.maybeCompact()
 	}
 	t.tickHub()
-	if t.requests.Waiting() > 0 {
+	if t.requests.WaitingCount() > 0 {
 		t.reduceRequests(requests.Tick{})
 	}
 	t.tickReady()
@@ -104,7 +104,7 @@
 func (t *transition) tickReady() {
 	ready := t.requests.Ready(t.now, t.readyNotice())
 	if ready != t.ready {
-		t.note(NoteReady, string(t.settings.ID), fmt.Sprintf("ready=%t version=%d gateway=%d", ready, t.config.Version, t.requests.Number()))
+		t.note(NoteReady, string(t.settings.ID), fmt.Sprintf("ready=%t version=%d gateway=%d", ready, t.config.Version, t.requests.TableNumber()))
 	}
 	t.ready = ready
 }
@@ -129,8 +129,8 @@
 		switch d := d.(type) {
 		case requests.WorkerChanged:
 			t.note(NoteWorker, string(d.Worker.ID), fmt.Sprintf("usable=%t state=%s seq=%d born=%s at=%s failures=%d why=%q",
-				d.Healthy, d.Worker.State, d.Worker.Seq, d.Worker.Born, d.Worker.Address, d.Failures, d.Why))
-		case requests.WorkerEnded:
+				d.Healthy, d.Worker.State, d.Worker.Seq, d.Worker.Born, d.Worker.Address, d.Failures, d.Reason))
+		case requests.WorkerCrashed:
 			t.note(NoteWorker, string(d.Worker), fmt.Sprintf("ended under %d requests of this host", d.Requests))
 		case requests.ZoneChanged:
 			t.note(NoteZone, string(d.Zone), fmt.Sprintf("reached=%t others=%t missed=%s", d.Reachable, d.AllOthers, d.LastFailed))
--- a/core/host/seeded_test.go
+++ b/core/host/seeded_test.go
@@ -133,7 +133,7 @@
 	f.starts++
 	s := host.Settings{
 		ID: id, Zone: f.zoneOf(id), Seeds: f.seeds, Incarnation: f.starts, Voters: f.voters, Serves: f.disks[id] == nil,
-		Requests: requests.Settings{Zone: f.zoneOf(id), StartTime: f.entryStart},
+		Requests: requests.Settings{Zone: f.zoneOf(id), StartupTimeout: f.entryStart},
 	}
 	d := f.disks[id]
 	if d != nil {
@@ -359,7 +359,7 @@
 		require.Equal(t, "document 9", string(f.states[replicaName(i)].Config().Gateway.Source))
 	}
 	require.False(t, f.put(replicaName(0), config.RouteTable{Number: 12, Routes: []config.Route{{Host: "h"}}}, time.Second))
-	require.EqualValues(t, 9, f.states[entryName(0)].Requests().Number())
+	require.EqualValues(t, 9, f.states[entryName(0)].Requests().TableNumber())
 }
 
 // TestEntryLeavesAReplicaThatKnowsNoLeader cuts the replica that an entry host
@@ -380,7 +380,7 @@
 	id := f.commit(leader, f.table(2, "k"))
 	f.run(time.Second)
 	for i := range 4 {
-		require.EqualValues(t, 2, f.states[entryName(i)].Requests().Number(), "entry %d", i)
+		require.EqualValues(t, 2, f.states[entryName(i)].Requests().TableNumber(), "entry %d", i)
 		require.True(t, f.states[entryName(i)].Ready(), "entry %d", i)
 	}
 	require.True(t, f.acked(id))
@@ -470,7 +470,7 @@
 	require.NotEmpty(t, f.leader(), "the newcomer does not vote")
 	require.True(t, f.put(replicaName(7), f.table(6, "k"), 2*time.Second))
 	f.run(time.Second)
-	require.EqualValues(t, 6, f.states[entryName(0)].Requests().Number())
+	require.EqualValues(t, 6, f.states[entryName(0)].Requests().TableNumber())
 }
 
 // TestReadIsConfirmedByTheNewestLeader cuts the leader off from the others: it
@@ -551,7 +551,7 @@
 	}
 	require.True(t, f.put(f.leader(), f.table(2, "k"), time.Second))
 	f.run(time.Second)
-	require.EqualValues(t, 2, f.states[entryName(0)].Requests().Number())
+	require.EqualValues(t, 2, f.states[entryName(0)].Requests().TableNumber())
 }
 
 // TestReplicaThatWasPutOutComesBack cuts a replica without a vote off until the
@@ -637,7 +637,7 @@
 	require.True(t, f.states[entryName(1)].Ready())
 	require.IsType(t, requests.Dispatch{}, f.ask(entryName(0), "/x/1", "k"))
 	f.run(requests.DefaultKeyLease)
-	require.True(t, f.ask(entryName(0), "/x/1", "k").(requests.Finish).Verdict.Elsewhere)
+	require.True(t, f.ask(entryName(0), "/x/1", "k").(requests.Finish).Verdict.TryOtherHost)
 	f.cutOff(entryName(0), false)
 	f.run(time.Second)
 	require.True(t, f.states[entryName(0)].Ready())
--- a/core/host/view.go
+++ b/core/host/view.go
@@ -243,7 +243,7 @@
 func (s State) dumpSync(now time.Time) *DumpSync {
 	d := &DumpSync{
 		Hosts: s.seeded.hosts, Asks: s.seeded.hub.polledLast, Serves: s.settings.IsReplica() || s.seeded.hub.serves,
-		Askers: s.seeded.clients.Len(), ConfirmedAt: s.requests.Confirmed().AsOf, Workers: s.requests.KnownWorkers(),
+		Askers: s.seeded.clients.Len(), ConfirmedAt: s.requests.Confirmation().AsOf, Workers: s.requests.WorkerCount(),
 		Drained: s.heldZones().List(), ZonesRevision: s.heldZones().Revision,
 	}
 	for _, h := range s.seeded.hub.list.Hosts {
--- a/core/host/zones.go
+++ b/core/host/zones.go
@@ -48,7 +48,7 @@
 	if t.seeded.zones.Revision == before.Revision {
 		return
 	}
-	t.requests = t.requests.WithDrained(t.seeded.zones)
+	t.requests = t.requests.WithDrainedZones(t.seeded.zones)
 	t.noteZones(before.Revision, string(from))
 }
 
--- a/core/host/zones_test.go
+++ b/core/host/zones_test.go
@@ -47,7 +47,7 @@
 		return ""
 	}
 	f.reduce(at, host.RequestEvent{Event: requests.AttemptEnded{
-		Request: d.Request, Attempt: d.Attempt, Result: outcome.Answered{Status: 200}, Wanted: true,
+		Request: d.Request, Attempt: d.Attempt, Result: outcome.Answered{Status: 200}, CallerWaiting: true,
 	}})
 	return d.Worker.Zone
 }
--- a/core/requests/admit.go
+++ b/core/requests/admit.go
@@ -138,7 +138,7 @@
 // refuseForOtherHost does the same where another host likely takes the request.
 func (t *transition) refuseForOtherHost(id ident.Request, code Code, reason string) {
 	t.finish(id, Verdict{
-		Outcome: outcome.NotRun, Code: code, Reason: reason, RetryAfter: retryAfterElsewhere, Elsewhere: true,
+		Outcome: outcome.NotRun, Code: code, Reason: reason, RetryAfter: retryAfterElsewhere, TryOtherHost: true,
 	})
 }
 
--- a/core/requests/admit_test.go
+++ b/core/requests/admit_test.go
@@ -78,8 +78,8 @@
 	for _, number := range []uint64{3, 1, 7, 2} {
 		g := table()
 		g.Number = number
-		before := s.Number()
-		s = s.WithConfig(g)
-		require.Equal(t, max(before, number), s.Number())
+		before := s.TableNumber()
+		s = s.WithRouteTable(g)
+		require.Equal(t, max(before, number), s.TableNumber())
 	}
 }
--- a/core/requests/attempt.go
+++ b/core/requests/attempt.go
@@ -32,7 +32,7 @@
 	t.endInFlight(c)
 	t.learnHealth(c, ev.Result)
 	c.combined = outcome.Combine(c.combined, outcome.Of(ev.Result))
-	if !ev.Wanted {
+	if !ev.CallerWaiting {
 		t.finish(c.req.ID, Verdict{Outcome: c.combined, Code: CodeCallerGone, Reason: "the caller left"})
 		return
 	}
--- a/core/requests/attempt_test.go
+++ b/core/requests/attempt_test.go
@@ -50,7 +50,7 @@
 			}
 			now = now.Add(time.Millisecond)
 			var decisions []requests.Decision
-			s, decisions = requests.Reduce(s, requests.AttemptEnded{Request: "1", Attempt: dispatch.Attempt, Result: result, Wanted: true}, now)
+			s, decisions = requests.Reduce(s, requests.AttemptEnded{Request: "1", Attempt: dispatch.Attempt, Result: result, CallerWaiting: true}, now)
 			d = only(t, decisions)
 		}
 		verdict := d.(requests.Finish).Verdict
--- a/core/requests/bench_test.go
+++ b/core/requests/bench_test.go
@@ -21,7 +21,7 @@
 	for _, size := range []int{9, 144, 910} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			now := time.Unix(1000, 0)
-			s := requests.New(requests.Settings{Zone: "z"}).WithConfig(config.RouteTable{
+			s := requests.New(requests.Settings{Zone: "z"}).WithRouteTable(config.RouteTable{
 				Number: 1, Pools: []config.Pool{{ID: "pool", Engine: true, Moves: true}},
 				Routes: []config.Route{{
 					Host: "a.example", Prefix: "/x/", Kind: config.RouteStream, Timeout: config.Duration(time.Minute),
@@ -43,7 +43,7 @@
 						{ID: "system", Tokens: 500}, {ID: fmt.Sprint(i % 30), Tokens: 9000}, {ID: "own", Tokens: 900},
 					}},
 				}}, now)
-				s, _ = requests.Reduce(s, requests.AttemptEnded{Request: id, Attempt: 1, Result: outcome.Answered{Status: 200}, Wanted: true}, now)
+				s, _ = requests.Reduce(s, requests.AttemptEnded{Request: id, Attempt: 1, Result: outcome.Answered{Status: 200}, CallerWaiting: true}, now)
 			}
 		})
 	}
--- a/core/requests/builder_test.go
+++ b/core/requests/builder_test.go
@@ -52,7 +52,7 @@
 
 // readyWith is ready with settings of its own.
 func readyWith(set requests.Settings, n int) requests.State {
-	s := requests.New(set).WithConfig(table()).WithHosts(1)
+	s := requests.New(set).WithRouteTable(table()).WithHostCount(1)
 	s, _ = requests.Reduce(s, requests.Registered{From: "r", Workers: append(workers("plain", n), workers("engines", n)...)}, start)
 	s, _ = requests.Reduce(s, requests.Confirmed{Confirmation: confirmation.At(start)}, start)
 	return s
--- a/core/requests/cachesource_test.go
+++ b/core/requests/cachesource_test.go
@@ -28,7 +28,7 @@
 		r.Prompt = shared()
 		s, d := arrive(t, ready(6), r, start)
 		first := d.(requests.Dispatch)
-		_, decisions := requests.Reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: result, Wanted: true}, start)
+		_, decisions := requests.Reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: result, CallerWaiting: true}, start)
 		again := only(t, decisions).(requests.Dispatch)
 		require.NotEqual(t, first.Worker.ID, again.Worker.ID)
 		require.Equal(t, name != "broke off", again.CacheFrom == first.Worker.Address, name)
--- a/core/requests/cold_test.go
+++ b/core/requests/cold_test.go
@@ -33,9 +33,9 @@
 	for i := range t.Pools {
 		t.Pools[i].ColdPerSecond = coldPerSecond
 	}
-	s := requests.New(requests.Settings{Host: ident.Host(name), Zone: "z"}).WithConfig(t)
+	s := requests.New(requests.Settings{Host: ident.Host(name), Zone: "z"}).WithRouteTable(t)
 	if hosts > 0 {
-		s = s.WithHosts(hosts)
+		s = s.WithHostCount(hosts)
 	}
 	told := slices.Clone(all)
 	for i := range told {
@@ -100,7 +100,7 @@
 			informed = passed + 300*time.Millisecond
 		}
 		if informed >= 0 && passed >= informed {
-			s = s.WithHosts(hosts)
+			s = s.WithHostCount(hosts)
 		}
 		id := ident.Request(fmt.Sprintf("%s-%d", name, passed))
 		req := request(string(id), "/resumable/x")
@@ -113,7 +113,7 @@
 			at = append(at, now)
 		}
 		s, _ = requests.Reduce(s, requests.AttemptEnded{
-			Request: id, Attempt: sent.Attempt, Result: outcome.Answered{Status: 200}, Wanted: true,
+			Request: id, Attempt: sent.Attempt, Result: outcome.Answered{Status: 200}, CallerWaiting: true,
 		}, now)
 	}
 	return at
@@ -148,7 +148,7 @@
 		g := table()
 		g.Number = 3
 		g.Pools = []config.Pool{{ID: "plain", ColdPerSecond: perSecond}, {ID: "engines"}}
-		s = confirmedAt(s.WithConfig(g), start.Add(after))
+		s = confirmedAt(s.WithRouteTable(g), start.Add(after))
 		n := 0
 		for i := range 20 {
 			_, d := requests.Reduce(s, requests.Arrived{Request: request(fmt.Sprint("r", i), "/safe/x")}, start.Add(after))
--- a/core/requests/crashes.go
+++ b/core/requests/crashes.go
@@ -26,8 +26,8 @@
 // Inputs: attempts that broke off, connections refused, registrations, and the list of
 // crashes.
 
-// Crashes are the crashes that this host itself saw lately.
-func (s State) Crashes() crashes.Reports { return s.observer.Reports() }
+// CrashReports are the crashes that this host itself saw lately.
+func (s State) CrashReports() crashes.Reports { return s.observer.Reports() }
 
 // CrashList are the requests under which workers ended, as this host knows them.
 func (s State) CrashList() crashes.List { return s.crashList }
@@ -90,7 +90,7 @@
 	next, n := t.observer.WithEnd(id, life, t.now)
 	t.observer = next
 	if n > 0 {
-		t.out = append(t.out, WorkerEnded{Worker: id, Requests: n})
+		t.out = append(t.out, WorkerCrashed{Worker: id, Requests: n})
 	}
 }
 
--- a/core/requests/crashes_test.go
+++ b/core/requests/crashes_test.go
@@ -50,7 +50,7 @@
 	s, d := arrive(t, s, known("1", "/unsafe/bad"), now)
 	sent := d.(requests.Dispatch)
 	require.Equal(t, contentOf("/unsafe/bad"), sent.Content)
-	s, decisions := reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: result, Wanted: true}, now.Add(time.Second))
+	s, decisions := reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: result, CallerWaiting: true}, now.Add(time.Second))
 	return s, sent, probes(decisions)
 }
 
@@ -86,7 +86,7 @@
 		s, sent, asked := brokenAt(t, bornReady(1), outcome.Broken{Reason: "unexpected EOF"}, start)
 		require.Equal(t, 1, asked, name)
 		s, _ = reduce(s, c.proof(s, sent), later)
-		reports := s.Crashes().Lately(later)
+		reports := s.CrashReports().Lately(later)
 		if !c.crash {
 			require.Empty(t, reports, name)
 			continue
@@ -95,7 +95,7 @@
 		require.Equal(t, contentOf("/unsafe/bad"), reports[0].Content)
 		want := crashes.Crash{Attempt: "1/1", Worker: sent.Worker.ID, SentAt: start, EndedAt: start.Add(time.Second)}
 		require.Equal(t, want, reports[0].Crash, name)
-		require.Empty(t, s.Crashes().Lately(later.Add(time.Minute)), "it is not reported for ever")
+		require.Empty(t, s.CrashReports().Lately(later.Add(time.Minute)), "it is not reported for ever")
 	}
 
 	// Something between takes connections for a worker that has ended; then its next process
@@ -105,10 +105,10 @@
 		s, _ = reduce(s, requests.ProbeEnded{Worker: sent.Worker.ID, OK: true}, later)
 		if answers {
 			s, _ = arrive(t, s, known("2", "/unsafe/other"), later)
-			s, _ = reduce(s, requests.AttemptEnded{Request: "2", Attempt: 1, Result: outcome.Answered{Status: 200}, Wanted: true}, later)
+			s, _ = reduce(s, requests.AttemptEnded{Request: "2", Attempt: 1, Result: outcome.Answered{Status: 200}, CallerWaiting: true}, later)
 		}
 		s, _ = reduce(s, again(sent), later)
-		require.Equal(t, !answers, len(s.Crashes().Lately(later)) == 1)
+		require.Equal(t, !answers, len(s.CrashReports().Lately(later)) == 1)
 	}
 }
 
@@ -121,13 +121,13 @@
 	}
 	for i := range 20 {
 		var decisions []requests.Decision
-		s, decisions = reduce(s, requests.AttemptEnded{Request: ident.Request(fmt.Sprint(i)), Attempt: 1, Result: outcome.Broken{}, Wanted: true}, start)
+		s, decisions = reduce(s, requests.AttemptEnded{Request: ident.Request(fmt.Sprint(i)), Attempt: 1, Result: outcome.Broken{}, CallerWaiting: true}, start)
 		asked += probes(decisions)
 	}
 	require.Equal(t, 1, asked)
 	s, d := arrive(t, s, known("next", "/unsafe/next"), start)
-	s, _ = reduce(s, requests.AttemptEnded{Request: "next", Attempt: d.(requests.Dispatch).Attempt, Result: outcome.NeverSent{Refused: true}, Wanted: true}, start)
-	require.Len(t, s.Crashes().Lately(start), 20)
+	s, _ = reduce(s, requests.AttemptEnded{Request: "next", Attempt: d.(requests.Dispatch).Attempt, Result: outcome.NeverSent{Refused: true}, CallerWaiting: true}, start)
+	require.Len(t, s.CrashReports().Lately(start), 20)
 }
 
 // TestWhatShowsNoCrash breaks attempts off where a worker ends as planned, where nothing came
@@ -135,7 +135,7 @@
 func TestWhatShowsNoCrash(t *testing.T) {
 	refuse := func(s requests.State, d requests.Dispatch, now time.Time) []crashes.Report {
 		s, _ = reduce(s, requests.ProbeEnded{Worker: d.Worker.ID, Refused: true}, now)
-		return s.Crashes().Lately(now)
+		return s.CrashReports().Lately(now)
 	}
 	s, d, asked := brokenAt(t, bornReady(1), outcome.Broken{Silent: true}, start)
 	require.Zero(t, asked)
@@ -148,11 +148,11 @@
 	leaving := first.(requests.Dispatch).Worker
 	leaving.State, leaving.Seq = registry.Draining, leaving.Seq+1
 	s, _ = register(s, leaving, start)
-	s, _ = reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Broken{}, Wanted: true}, start)
+	s, _ = reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Broken{}, CallerWaiting: true}, start)
 	require.Empty(t, refuse(s, first.(requests.Dispatch), start))
 
 	s, first = arrive(t, bornReady(1), request("1", "/unsafe/bad"), start)
-	s, decisions := reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Broken{}, Wanted: true}, start)
+	s, decisions := reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Broken{}, CallerWaiting: true}, start)
 	require.Zero(t, probes(decisions))
 	require.Empty(t, refuse(s, first.(requests.Dispatch), start))
 }
@@ -195,7 +195,7 @@
 		s, first := arrive(t, bornReady(3), known("1", "/safe/bad"), start)
 		s = refusing(s, "/safe/bad")
 		_, decisions := reduce(s, requests.AttemptEnded{
-			Request: "1", Attempt: first.(requests.Dispatch).Attempt, Result: c.result, Wanted: true,
+			Request: "1", Attempt: first.(requests.Dispatch).Attempt, Result: c.result, CallerWaiting: true,
 		}, start)
 		var v requests.Verdict
 		for _, d := range decisions {
@@ -208,7 +208,7 @@
 		require.Equal(t, c.kind, v.Outcome, name)
 	}
 	s, first := arrive(t, bornReady(3), known("1", "/safe/bad"), start)
-	_, decisions := reduce(refusing(s, "/safe/bad"), requests.HeaderLate{Request: "1", Attempt: first.(requests.Dispatch).Attempt}, start)
+	_, decisions := reduce(refusing(s, "/safe/bad"), requests.HeaderTimedOut{Request: "1", Attempt: first.(requests.Dispatch).Attempt}, start)
 	require.Empty(t, decisions, "an attempt is not given up for another one")
 }
 
@@ -218,10 +218,10 @@
 	for _, ends := range []int{2, 3} {
 		s, _ := arrive(t, bornReady(1), known("1", "/unsafe/x"), start)
 		s = s.WithCrashList(crashes.List{}.With(start, crashes.Entry{Content: contentOf("/unsafe/x"), Ends: ends, At: start}))
-		failed, _ := reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Answered{Status: 500}, Wanted: true}, start.Add(2*time.Second))
+		failed, _ := reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Answered{Status: 500}, CallerWaiting: true}, start.Add(2*time.Second))
 		e, _ := failed.CrashList().Get(contentOf("/unsafe/x"))
 		require.Equal(t, ends, e.Ends, "a failure shows nothing")
-		s, _ = reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Answered{Status: 200}, Wanted: true}, start.Add(2*time.Second))
+		s, _ = reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Answered{Status: 200}, CallerWaiting: true}, start.Add(2*time.Second))
 		e, _ = s.CrashList().Get(contentOf("/unsafe/x"))
 		require.Zero(t, e.Ends)
 		_, d := arrive(t, s, known("2", "/unsafe/x"), start.Add(2*time.Second))
--- a/core/requests/decision.go
+++ b/core/requests/decision.go
@@ -36,7 +36,7 @@
 		// CacheFrom is the address of an engine that may hold the prompt's shared parts
 		// where Worker lacks them; empty for none.
 		CacheFrom string
-		// HeaderTimeout is when a HeaderLate is due without a response header,
+		// HeaderTimeout is when a HeaderTimedOut is due without a response header,
 		// StallTimeout bounds the pause between events; 0 is up to the deadline.
 		HeaderTimeout time.Duration
 		StallTimeout  time.Duration
@@ -58,10 +58,10 @@
 		Verdict Verdict
 		Inputs  Inputs
 	}
-	// GiveUp ends the present attempt of a request, which goes to another worker then.
-	GiveUp struct{ Request ident.Request }
-	// BreakOff ends an attempt whose worker has ended since. It is reported as broken.
-	BreakOff struct {
+	// CancelAttempt ends the present attempt of a request, which goes to another worker then.
+	CancelAttempt struct{ Request ident.Request }
+	// AbortAttempt ends an attempt whose worker has ended since. It is reported as broken.
+	AbortAttempt struct {
 		Request ident.Request
 		Attempt int
 	}
@@ -74,11 +74,11 @@
 		Healthy bool
 		// Failures is the row of failures that led to it; Why says what was seen.
 		Failures int
-		Why      string
+		Reason   string
 	}
-	// WorkerEnded tells, for the log, that a worker's process ended under Requests of this
+	// WorkerCrashed tells, for the log, that a worker's process ended under Requests of this
 	// host.
-	WorkerEnded struct {
+	WorkerCrashed struct {
 		Worker   ident.Target
 		Requests int
 	}
@@ -97,27 +97,27 @@
 func (Pause) decision()           {}
 func (Wait) decision()            {}
 func (Finish) decision()          {}
-func (GiveUp) decision()          {}
-func (BreakOff) decision()        {}
+func (CancelAttempt) decision()   {}
+func (AbortAttempt) decision()    {}
 func (ProbeConnection) decision() {}
 func (WorkerChanged) decision()   {}
-func (WorkerEnded) decision()     {}
+func (WorkerCrashed) decision()   {}
 func (ZoneChanged) decision()     {}
 
 // Inputs are what a decision was made from, for the log.
 type Inputs struct {
-	// Number is the route table's, ConfigAge the time since the table was confirmed;
+	// TableNumber is the route table's, ConfigAge the time since the table was confirmed;
 	// negative where it never was.
-	Number    uint64
-	ConfigAge time.Duration
+	TableNumber uint64
+	ConfigAge   time.Duration
 	// Load is the worker's, as estimated, in requests; LoadAge the age of the part that
 	// is of other hosts. Mean is the candidates' mean load.
-	Load    int
-	LoadAge time.Duration
-	Mean    float64
-	// Choice is the worker's position in the order of preference, 0 for the first;
+	Load     int
+	LoadAge  time.Duration
+	MeanLoad float64
+	// Position is the worker's position in the order of preference, 0 for the first;
 	// Candidates is how many there were.
-	Choice     int
+	Position   int
 	Candidates int
 	// Kind says how the attempt came about, LastResort that no worker was available.
 	Kind       AttemptKind
@@ -146,9 +146,9 @@
 	Reason  string
 	// RetryAfter is when the caller may come back; 0 is no advice.
 	RetryAfter time.Duration
-	// Elsewhere is set where another host likely takes the request, and this one will
+	// TryOtherHost is set where another host likely takes the request, and this one will
 	// not for a while: the caller's connection shall not bring it more.
-	Elsewhere bool
+	TryOtherHost bool
 }
 
 // Code is the machine-readable part of a Verdict.
--- a/core/requests/dispatch.go
+++ b/core/requests/dispatch.go
@@ -96,7 +96,7 @@
 // inputs gathers what a decision is made from.
 func (t *transition) inputs(picked choice) Inputs {
 	in := Inputs{
-		Number: t.number, Mean: picked.mean, Choice: picked.position, Candidates: picked.candidates,
+		TableNumber: t.number, MeanLoad: picked.mean, Position: picked.position, Candidates: picked.candidates,
 		Load: t.load(picked.worker, t.now), ConfigAge: neverConfirmed,
 	}
 	if !t.confirmed.Never() {
--- a/core/requests/drained.go
+++ b/core/requests/drained.go
@@ -47,8 +47,8 @@
 	handoverPart = 0.4
 )
 
-// WithDrained returns the state of a host that has learned which zones are drained.
-func (s State) WithDrained(d zones.Drained) State {
+// WithDrainedZones returns the state of a host that has learned which zones are drained.
+func (s State) WithDrainedZones(d zones.Drained) State {
 	from := s.confirmed.AsOf.Add(s.settings.ZoneDrain - drainMargin)
 	for _, o := range d.Since(s.drained.Revision) {
 		s.drainedFrom = s.drainedFrom.Without(o.Zone)
--- a/core/requests/drained_test.go
+++ b/core/requests/drained_test.go
@@ -52,7 +52,7 @@
 // have room: a third before the order, fewer each half second, none once half of its time is over.
 func TestWorkOfADrainedZoneIsHandedOver(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/once/x", "/resumable/x"} {
-		s := drainingHost(640).WithDrained(drain("zb"))
+		s := drainingHost(640).WithDrainedZones(drain("zb"))
 		const requestsEach = 300
 		last := requestsEach
 		for now := start; !now.After(handedOver); now = now.Add(500 * time.Millisecond) {
@@ -81,7 +81,7 @@
 	for name, end := range ends {
 		for _, path := range []string{"/safe/x", "/unsafe/x", "/once/x", "/resumable/x"} {
 			t.Run(name+path, func(t *testing.T) {
-				s := drainingHost(64).WithDrained(drain("zb"))
+				s := drainingHost(64).WithDrainedZones(drain("zb"))
 				now := start.Add(requests.DefaultZoneDrain)
 				s = confirmedAt(s, now)
 				for i := range 60 {
@@ -97,7 +97,7 @@
 						}
 						require.NotEqual(t, ident.Zone("zb"), sent.Worker.Zone, "attempt %d", attempt)
 						var out []requests.Decision
-						s, out = requests.Reduce(s, requests.AttemptEnded{Request: r.ID, Attempt: sent.Attempt, Result: end, Wanted: true}, now)
+						s, out = requests.Reduce(s, requests.AttemptEnded{Request: r.ID, Attempt: sent.Attempt, Result: end, CallerWaiting: true}, now)
 						d = last(out)
 					}
 					now = now.Add(35 * time.Millisecond)
@@ -123,7 +123,7 @@
 // from then on requests are refused at once as not run.
 func TestLastWorkersServeUntilTheZoneIsClosed(t *testing.T) {
 	learned := start.Add(900 * time.Millisecond)
-	s := drainingHost(64).WithDrained(drain("za", "zb", "zc"))
+	s := drainingHost(64).WithDrainedZones(drain("za", "zb", "zc"))
 	s, d := arrive(t, s, request("within", "/unsafe/x"), learned)
 	require.IsType(t, requests.Dispatch{}, d)
 	closed := start.Add(requests.DefaultZoneDrain - 300*time.Millisecond)
@@ -141,7 +141,7 @@
 		require.Positive(t, f.Verdict.RetryAfter)
 	}
 	taken, _ := drain("za", "zb", "zc").With(zones.Change{Zone: "zb", Seen: 2})
-	_, d = arrive(t, s.WithDrained(taken), request("again", "/unsafe/x"), closed)
+	_, d = arrive(t, s.WithDrainedZones(taken), request("again", "/unsafe/x"), closed)
 	require.Equal(t, ident.Zone("zb"), d.(requests.Dispatch).Worker.Zone)
 }
 
@@ -150,7 +150,7 @@
 // them do not take at once what three had. Nothing goes to the zone once its time is over.
 func TestFullWorkersAreHelpedByADrainingZone(t *testing.T) {
 	const slots = 6
-	s := drainingHost(slots).WithDrained(drain("zb"))
+	s := drainingHost(slots).WithDrainedZones(drain("zb"))
 	now := handedOver
 	s = confirmedAt(s, now)
 	sent := map[ident.Zone]int{}
@@ -186,7 +186,7 @@
 		if before.Zone != "zb" {
 			continue
 		}
-		_, d = arrive(t, confirmedAt(s.WithDrained(drain("zb")), handedOver), r, handedOver)
+		_, d = arrive(t, confirmedAt(s.WithDrainedZones(drain("zb")), handedOver), r, handedOver)
 		require.Equal(t, before.Address, d.(requests.Dispatch).CacheFrom)
 		moved++
 	}
--- a/core/requests/engine_test.go
+++ b/core/requests/engine_test.go
@@ -24,7 +24,7 @@
 			all = append(all, w)
 		}
 	}
-	s := requests.New(requests.Settings{Zone: "z0"}).WithConfig(table()).WithHosts(1)
+	s := requests.New(requests.Settings{Zone: "z0"}).WithRouteTable(table()).WithHostCount(1)
 	s, _ = requests.Reduce(s, requests.Registered{From: "r", Workers: all}, start)
 	s, _ = requests.Reduce(s, requests.Confirmed{Confirmation: confirmation.At(start)}, start)
 	return s
--- a/core/requests/event.go
+++ b/core/requests/event.go
@@ -32,9 +32,9 @@
 		Route string
 		Took  time.Duration
 	}
-	// HeaderLate reports that no response header has come within the HeaderTimeout of a
-	// Dispatch. It yields a GiveUp where the request goes to another worker.
-	HeaderLate struct {
+	// HeaderTimedOut reports that no response header has come within the HeaderTimeout of a
+	// Dispatch. It yields a CancelAttempt where the request goes to another worker.
+	HeaderTimedOut struct {
 		Request ident.Request
 		Attempt int
 		Waited  time.Duration
@@ -44,14 +44,14 @@
 		Request ident.Request
 		Attempt int
 		Result  outcome.Attempt
-		// Wanted is false where the caller has the answer or has left.
-		Wanted bool
+		// CallerWaiting is false where the caller has the answer or has left.
+		CallerWaiting bool
 	}
 	// PauseEnded reports that the time of a Pause is over.
 	PauseEnded struct {
 		Request ident.Request
-		// Wanted is false where the caller has left.
-		Wanted bool
+		// CallerWaiting is false where the caller has left.
+		CallerWaiting bool
 	}
 	// Expired reports that a request's time is over.
 	Expired struct{ Request ident.Request }
@@ -84,7 +84,7 @@
 
 func (Arrived) event()        {}
 func (HeaderReceived) event() {}
-func (HeaderLate) event()     {}
+func (HeaderTimedOut) event() {}
 func (AttemptEnded) event()   {}
 func (PauseEnded) event()     {}
 func (Expired) event()        {}
--- a/core/requests/fleet_test.go
+++ b/core/requests/fleet_test.go
@@ -227,7 +227,7 @@
 	}
 	for i := range l.hosts {
 		zone := ident.Zone(fmt.Sprint("z", i%l.zones))
-		s := requests.New(requests.Settings{Host: ident.Host(fmt.Sprint("h", i)), Zone: zone, RetryExtra: 630}).WithConfig(f.table()).WithHosts(l.hosts)
+		s := requests.New(requests.Settings{Host: ident.Host(fmt.Sprint("h", i)), Zone: zone, RetryExtra: 630}).WithRouteTable(f.table()).WithHostCount(l.hosts)
 		s, _ = requests.Reduce(s, requests.Registered{From: "r", Workers: all}, f.now)
 		s, _ = requests.Reduce(s, requests.Confirmed{Confirmation: confirmation.At(f.now)}, f.now)
 		f.hosts = append(f.hosts, s)
@@ -294,7 +294,7 @@
 	}
 	for i := range f.hosts {
 		f.feed(i, requests.Confirmed{Confirmation: confirmation.At(f.now)})
-		f.hosts[i] = f.hosts[i].WithDrained(drain(f.load.drained))
+		f.hosts[i] = f.hosts[i].WithDrainedZones(drain(f.load.drained))
 	}
 }
 
@@ -339,7 +339,7 @@
 func (f *simFleet) silentWorkers() []registry.Worker {
 	var out []registry.Worker
 	for _, h := range f.hosts {
-		for _, one := range h.Replaced().Lately(f.now) {
+		for _, one := range h.Replacements().Recent(f.now) {
 			if w, ok := h.Worker(one.Worker); ok {
 				w.State = registry.Silent
 				out = append(out, w)
@@ -443,7 +443,7 @@
 	if e.replaced && f.surging() {
 		f.figures.declined++
 		f.feed(host, requests.AttemptEnded{
-			Request: d.Request, Attempt: d.Attempt, Result: outcome.Declined{Leaving: true}, Wanted: true,
+			Request: d.Request, Attempt: d.Attempt, Result: outcome.Declined{Leaving: true}, CallerWaiting: true,
 		})
 		return
 	}
@@ -471,16 +471,16 @@
 	}
 	g := &f.figures
 	g.requests++
-	if d.Inputs.Choice == 0 {
+	if d.Inputs.Position == 0 {
 		g.first++
 	}
 	if j.kind == &f.load.kinds[0] {
 		g.long++
-		if d.Inputs.Choice == 0 {
+		if d.Inputs.Position == 0 {
 			g.longFirst++
 		}
 	}
-	if d.Inputs.Choice >= 5 { //nolint:mnd // The fifth.
+	if d.Inputs.Position >= 5 { //nolint:mnd // The fifth.
 		g.beyondFifth++
 	}
 	for _, p := range j.parts {
@@ -584,7 +584,7 @@
 	}
 	for _, j := range ended {
 		e.jobs = slices.DeleteFunc(e.jobs, func(other *job) bool { return other == j })
-		f.feed(j.host, requests.AttemptEnded{Request: j.id, Attempt: j.attempt, Result: outcome.Answered{Status: 200}, Wanted: true})
+		f.feed(j.host, requests.AttemptEnded{Request: j.id, Attempt: j.attempt, Result: outcome.Answered{Status: 200}, CallerWaiting: true})
 	}
 }
 
--- a/core/requests/lease.go
+++ b/core/requests/lease.go
@@ -25,11 +25,11 @@
 // valid for at least notice more, which is the time that the balancer needs to stop
 // sending connections, and a host that starts knows the workers that it needs.
 func (s State) Ready(now time.Time, notice time.Duration) bool {
-	return s.LeaseValid(now.Add(notice)) && (!s.Starting(now) || s.HasWorkers(now))
+	return s.LeaseValid(now.Add(notice)) && (!s.Starting(now) || s.HasHealthyWorkers(now))
 }
 
 // KeyLease is how long a confirmation serves requests with a key.
 func (s State) KeyLease() time.Duration { return s.settings.KeyLease }
 
-// Confirmed says as of when the table held was surely the newest one.
-func (s State) Confirmed() confirmation.Confirmation { return s.confirmed }
+// Confirmation says as of when the table held was surely the newest one.
+func (s State) Confirmation() confirmation.Confirmation { return s.confirmed }
--- a/core/requests/notice.go
+++ b/core/requests/notice.go
@@ -43,8 +43,8 @@
 	Leaving bool
 	// Backoff is for how long the worker must get nothing from this host.
 	Backoff time.Duration
-	// Reluctance is for how long other workers are preferred.
-	Reluctance time.Duration
+	// SoftBackoff is for how long other workers are preferred.
+	SoftBackoff time.Duration
 }
 
 // backoffLeft is what is left of the worker's backoff.
@@ -61,7 +61,7 @@
 // withNotice returns the worker after it said something of itself.
 func (w worker) withNotice(n Notice, now time.Time) worker {
 	w.saysLeaving = w.saysLeaving || n.Leaving
-	w.fullUntil = latest(w.fullUntil, now.Add(n.Reluctance))
+	w.fullUntil = latest(w.fullUntil, now.Add(n.SoftBackoff))
 	if n.Backoff > 0 {
 		w.backoffRequestedAt, w.backoffUntil = now, latest(w.backoffUntil, now.Add(n.Backoff))
 	}
@@ -135,5 +135,5 @@
 
 // noticed tells the log what a worker said.
 func (t *transition) noticed(w worker, why string) {
-	t.out = append(t.out, WorkerChanged{Worker: w.Worker, Healthy: w.healthy(t.now), Failures: w.health.Failures, Why: why})
+	t.out = append(t.out, WorkerChanged{Worker: w.Worker, Healthy: w.healthy(t.now), Failures: w.health.Failures, Reason: why})
 }
--- a/core/requests/notice_test.go
+++ b/core/requests/notice_test.go
@@ -55,7 +55,7 @@
 		g.Routes[i].Timeout = config.Duration(10 * time.Second)
 	}
 	g.Number = 2
-	s := ready(9).WithConfig(g)
+	s := ready(9).WithRouteTable(g)
 	engines := &decliningEngines{
 		ids:  map[ident.Target]bool{"engines-0": true, "engines-4": true, "engines-8": true},
 		from: start.Add(2 * time.Second), to: start.Add(11 * time.Second), backoff: 3 * time.Second,
@@ -85,7 +85,7 @@
 				Request: sent.Request, Attempt: sent.Attempt, Worker: sent.Worker.ID, Notice: notice, Route: sent.Route.Name, Took: 20 * time.Millisecond,
 			}, at)
 			var decisions []requests.Decision
-			s, decisions = requests.Reduce(s, requests.AttemptEnded{Request: sent.Request, Attempt: sent.Attempt, Result: result, Wanted: true}, at)
+			s, decisions = requests.Reduce(s, requests.AttemptEnded{Request: sent.Request, Attempt: sent.Attempt, Result: result, CallerWaiting: true}, at)
 			d = only(t, decisions)
 		}
 		if d.(requests.Finish).Verdict.Code != requests.CodeOK {
@@ -167,11 +167,11 @@
 			next, d := arrive(t, s, request(fmt.Sprint("r-", n), "/unsafe/x"), start)
 			sent := d.(requests.Dispatch)
 			next = noticed(next, sent, requests.Notice{Backoff: time.Second}, start)
-			s, _ = requests.Reduce(next, requests.AttemptEnded{Request: sent.Request, Attempt: sent.Attempt, Result: outcome.Declined{}, Wanted: false}, start)
+			s, _ = requests.Reduce(next, requests.AttemptEnded{Request: sent.Request, Attempt: sent.Attempt, Result: outcome.Declined{}, CallerWaiting: false}, start)
 		}
 		s, d := arrive(t, s, request("last", "/unsafe/x"), start)
 		_, decisions := requests.Reduce(s, requests.AttemptEnded{
-			Request: "last", Attempt: d.(requests.Dispatch).Attempt, Result: result, Wanted: true,
+			Request: "last", Attempt: d.(requests.Dispatch).Attempt, Result: result, CallerWaiting: true,
 		}, start)
 		v := only(t, decisions).(requests.Finish).Verdict
 		require.Equal(t, outcome.NotRun, v.Outcome)
@@ -186,7 +186,7 @@
 	s := ready(2)
 	s, d := arrive(t, s, request("first", "/unsafe/x"), start)
 	reluctant := d.(requests.Dispatch)
-	s = noticed(s, reluctant, requests.Notice{Reluctance: 2 * time.Second}, start)
+	s = noticed(s, reluctant, requests.Notice{SoftBackoff: 2 * time.Second}, start)
 	s, d = decline(t, s, reluctant, start)
 	other := d.(requests.Dispatch)
 	require.NotEqual(t, reluctant.Worker.ID, other.Worker.ID)
@@ -195,7 +195,7 @@
 		_, d = arrive(t, s, request(fmt.Sprint("r-", i), "/unsafe/x"), later)
 		require.Equal(t, other.Worker.ID, d.(requests.Dispatch).Worker.ID)
 	}
-	s = noticed(s, other, requests.Notice{Reluctance: 2 * time.Second}, start)
+	s = noticed(s, other, requests.Notice{SoftBackoff: 2 * time.Second}, start)
 	_, d = arrive(t, s, request("last", "/unsafe/x"), later)
 	require.IsType(t, requests.Dispatch{}, d)
 	require.True(t, d.(requests.Dispatch).Inputs.LastResort)
@@ -216,7 +216,7 @@
 				s, d := arrive(t, s, request("first", path), start)
 				leaving := d.(requests.Dispatch)
 				s = noticed(s, leaving, requests.Notice{Leaving: true}, start)
-				s, _ = requests.Reduce(s, requests.AttemptEnded{Request: "first", Attempt: 1, Result: end, Wanted: false}, start)
+				s, _ = requests.Reduce(s, requests.AttemptEnded{Request: "first", Attempt: 1, Result: end, CallerWaiting: false}, start)
 				now := start.Add(300 * time.Millisecond)
 				s = confirmedAt(s, now)
 				heartbeat := leaving.Worker
@@ -244,7 +244,7 @@
 		case requests.Dispatch:
 			require.NotEqual(t, id, next.Worker.ID)
 			var decisions []requests.Decision
-			s, decisions = requests.Reduce(s, requests.AttemptEnded{Request: next.Request, Attempt: next.Attempt, Result: end, Wanted: true}, now)
+			s, decisions = requests.Reduce(s, requests.AttemptEnded{Request: next.Request, Attempt: next.Attempt, Result: end, CallerWaiting: true}, now)
 			d = lastOf(t, decisions)
 		}
 	}
--- a/core/requests/plainfleet_test.go
+++ b/core/requests/plainfleet_test.go
@@ -86,7 +86,7 @@
 		Shares: []config.Share{{Pool: "plain", Weight: 1}},
 	}}}
 	for i := range l.hosts {
-		s := requests.New(requests.Settings{Zone: ident.Zone(fmt.Sprint("z", i%3)), RetryExtra: 184}).WithConfig(t).WithHosts(l.hosts)
+		s := requests.New(requests.Settings{Zone: ident.Zone(fmt.Sprint("z", i%3)), RetryExtra: 184}).WithRouteTable(t).WithHostCount(l.hosts)
 		all := make([]registry.Worker, 0, 3)
 		for w := range 3 {
 			all = append(all, registry.Worker{
@@ -186,7 +186,7 @@
 			continue
 		}
 		if j.pausing {
-			f.feed(j.host, requests.PauseEnded{Request: j.request.ID, Wanted: true})
+			f.feed(j.host, requests.PauseEnded{Request: j.request.ID, CallerWaiting: true})
 			continue
 		}
 		var w int
@@ -200,7 +200,7 @@
 			f.queued[w] = append(f.queued[w], j)
 		default:
 			f.figures.declined++
-			f.feed(j.host, requests.AttemptEnded{Request: j.request.ID, Attempt: j.attempt, Result: outcome.Declined{Reason: "full"}, Wanted: true})
+			f.feed(j.host, requests.AttemptEnded{Request: j.request.ID, Attempt: j.attempt, Result: outcome.Declined{Reason: "full"}, CallerWaiting: true})
 		}
 	}
 }
@@ -212,7 +212,7 @@
 		f.running[w], f.queued[w] = nil, nil
 		for _, j := range lost {
 			f.feed(j.host, requests.AttemptEnded{
-				Request: j.request.ID, Attempt: j.attempt, Result: outcome.NeverSent{Reason: "connection refused", Refused: true}, Wanted: true,
+				Request: j.request.ID, Attempt: j.attempt, Result: outcome.NeverSent{Reason: "connection refused", Refused: true}, CallerWaiting: true,
 			})
 		}
 		return
@@ -228,7 +228,7 @@
 		} else {
 			f.figures.late++
 		}
-		f.feed(j.host, requests.AttemptEnded{Request: j.request.ID, Attempt: j.attempt, Result: outcome.Answered{Status: 200}, Wanted: true})
+		f.feed(j.host, requests.AttemptEnded{Request: j.request.ID, Attempt: j.attempt, Result: outcome.Answered{Status: 200}, CallerWaiting: true})
 	}
 	f.running[w] = left
 	for len(f.running[w]) < plainSlots && len(f.queued[w]) > 0 {
--- a/core/requests/replaced.go
+++ b/core/requests/replaced.go
@@ -26,8 +26,8 @@
 	maxReplaced = 64
 )
 
-// Replaced is a worker at whose address another process answered at SeenAt.
-type Replaced struct {
+// Replacement is a worker at whose address another process answered at SeenAt.
+type Replacement struct {
 	Worker ident.Target
 	Born   registry.Incarnation
 	SeenAt time.Time
@@ -36,11 +36,11 @@
 // Replacements are the workers found replaced lately. It is immutable; the zero value is
 // empty.
 type Replacements struct {
-	byWorker table.Table[ident.Target, Replaced]
+	byWorker table.Table[ident.Target, Replacement]
 }
 
 // With adds one, and forgets those that are reported no more.
-func (r Replacements) With(one Replaced, now time.Time) Replacements {
+func (r Replacements) With(one Replacement, now time.Time) Replacements {
 	for id, other := range r.byWorker.All() {
 		if now.Sub(other.SeenAt) > replacedLifetime {
 			r.byWorker = r.byWorker.Without(id)
@@ -53,9 +53,9 @@
 	return r
 }
 
-// Lately are those to be reported now.
-func (r Replacements) Lately(now time.Time) []Replaced {
-	var out []Replaced
+// Recent are those to be reported now.
+func (r Replacements) Recent(now time.Time) []Replacement {
+	var out []Replacement
 	for _, one := range r.byWorker.All() {
 		if now.Sub(one.SeenAt) <= replacedLifetime {
 			out = append(out, one)
@@ -64,12 +64,12 @@
 	return out
 }
 
-// Replaced are the workers that this host itself found replaced lately.
-func (s State) Replaced() Replacements { return s.replacements }
+// Replacements are the workers that this host itself found replaced lately.
+func (s State) Replacements() Replacements { return s.foundReplaced }
 
 // noteReplaced notes an attempt that found another process at its worker's address.
 func (t *transition) noteReplaced(w worker, a outcome.Attempt) {
 	if d, ok := a.(outcome.Declined); ok && d.Leaving && w.State == registry.Ready {
-		t.replacements = t.replacements.With(Replaced{Worker: w.ID, Born: w.Born, SeenAt: t.now}, t.now)
+		t.foundReplaced = t.foundReplaced.With(Replacement{Worker: w.ID, Born: w.Born, SeenAt: t.now}, t.now)
 	}
 }
--- a/core/requests/requests.go
+++ b/core/requests/requests.go
@@ -78,9 +78,9 @@
 	// engine's load.
 	LoadFactor float64
 	LoadSlack  float64
-	// StartTime is how long a host that starts may need until it can serve; requests
+	// StartupTimeout is how long a host that starts may need until it can serve; requests
 	// wait for it meanwhile. 0 lets none wait.
-	StartTime time.Duration
+	StartupTimeout time.Duration
 }
 
 // Defaults of Settings. All but DefaultLoadSlack are those of the settings file, which a
@@ -121,8 +121,8 @@
 	// addresses tell which workers share one, forgotAt when workers were last forgotten.
 	addresses registry.Addresses
 	forgotAt  time.Time
-	// replacements are the workers that this host found replaced.
-	replacements Replacements
+	// foundReplaced are the workers that this host found replaced.
+	foundReplaced Replacements
 	// observer is what this host sees of ends of workers, crashList the requests that end
 	// them, as all hosts know.
 	observer  crashes.Observer
@@ -194,8 +194,8 @@
 // measured: it gives a host that starts alone a sixteenth of the fleet's budget.
 const assumedHosts = 16
 
-// WithConfig returns the state with a route table in force.
-func (s State) WithConfig(t config.RouteTable) State {
+// WithRouteTable returns the state with a route table in force.
+func (s State) WithRouteTable(t config.RouteTable) State {
 	if t.Number <= s.number {
 		return s
 	}
@@ -204,21 +204,21 @@
 	return s.withoutOldRoutes()
 }
 
-// WithNewerKnown returns the state of a host that knows, or does not know, of a newer
+// WithNewerTableKnown returns the state of a host that knows, or does not know, of a newer
 // route table than the one that it holds.
-func (s State) WithNewerKnown(known bool) State {
+func (s State) WithNewerTableKnown(known bool) State {
 	s.newerKnown = known
 	return s
 }
 
-// WithHosts returns the state of one of n entry hosts.
-func (s State) WithHosts(n int) State {
+// WithHostCount returns the state of one of n entry hosts.
+func (s State) WithHostCount(n int) State {
 	s.hosts, s.hostsKnown = max(1, n), true
 	return s
 }
 
-// Number is the number of the route table in force; 0 for none.
-func (s State) Number() uint64 { return s.number }
+// TableNumber is the number of the route table in force; 0 for none.
+func (s State) TableNumber() uint64 { return s.number }
 
 // Workers yields all workers as this host knows them, in the order of their ids.
 func (s State) Workers() iter.Seq[registry.Worker] {
@@ -231,8 +231,8 @@
 	}
 }
 
-// KnownWorkers is how many workers this host knows.
-func (s State) KnownWorkers() int { return s.workers.Len() }
+// WorkerCount is how many workers this host knows.
+func (s State) WorkerCount() int { return s.workers.Len() }
 
 // Worker returns a worker as this host knows it.
 func (s State) Worker(id ident.Target) (registry.Worker, bool) {
@@ -240,8 +240,8 @@
 	return w.Worker, ok
 }
 
-// ReportedBy is the host from which a worker's registration came last.
-func (s State) ReportedBy(id ident.Target) ident.Host {
+// RegistrationSource is the host from which a worker's registration came last.
+func (s State) RegistrationSource(id ident.Target) ident.Host {
 	w, _ := s.workers.Get(id)
 	return w.reportedBy
 }
@@ -260,7 +260,7 @@
 		t.arrive(ev.Request)
 	case HeaderReceived:
 		t.headerReceived(ev)
-	case HeaderLate:
+	case HeaderTimedOut:
 		t.headerLate(ev)
 	case AttemptEnded:
 		t.attemptEnded(ev)
--- a/core/requests/resend.go
+++ b/core/requests/resend.go
@@ -65,7 +65,7 @@
 	c.pausing = false
 	w, ok := t.resendWorker(c)
 	switch {
-	case !ev.Wanted:
+	case !ev.CallerWaiting:
 		t.finish(c.req.ID, Verdict{Outcome: c.combined, Code: CodeCallerGone, Reason: "the caller left"})
 	case !t.now.Before(c.req.Deadline):
 		t.finish(c.req.ID, Verdict{Outcome: c.combined, Code: CodeDeadline, Reason: "the deadline has passed"})
--- a/core/requests/resend_test.go
+++ b/core/requests/resend_test.go
@@ -26,20 +26,20 @@
 		g.Routes[i].Objective, g.Routes[i].MaxAttempts = config.Duration(objective), 1
 	}
 	g.Number = 2
-	return ready(3).WithConfig(g)
+	return ready(3).WithRouteTable(g)
 }
 
 // decline ends a try as declined and returns what follows.
 func decline(t *testing.T, s requests.State, d requests.Dispatch, now time.Time) (requests.State, requests.Decision) {
 	t.Helper()
-	s, decisions := requests.Reduce(s, requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: outcome.Declined{Reason: "full"}, Wanted: true}, now)
+	s, decisions := requests.Reduce(s, requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: outcome.Declined{Reason: "full"}, CallerWaiting: true}, now)
 	return s, only(t, decisions)
 }
 
 // afterPause ends a request's pause and returns what follows.
 func afterPause(t *testing.T, s requests.State, id ident.Request, now time.Time) (requests.State, requests.Decision) {
 	t.Helper()
-	s, decisions := requests.Reduce(s, requests.PauseEnded{Request: id, Wanted: true}, now)
+	s, decisions := requests.Reduce(s, requests.PauseEnded{Request: id, CallerWaiting: true}, now)
 	return s, only(t, decisions)
 }
 
@@ -83,7 +83,7 @@
 	_, late := decline(t, s, d.(requests.Dispatch), start.Add(objective-time.Millisecond))
 	require.IsType(t, requests.Finish{}, late)
 
-	_, decisions := requests.Reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Declined{Leaving: true}, Wanted: true}, start)
+	_, decisions := requests.Reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Declined{Leaving: true}, CallerWaiting: true}, start)
 	again, ok := only(t, decisions).(requests.Dispatch)
 	require.True(t, !ok || again.Worker.ID != d.(requests.Dispatch).Worker.ID)
 
@@ -97,7 +97,7 @@
 		}
 	}
 	require.Positive(t, resent)
-	require.LessOrEqual(t, float64(resent), requests.BudgetUsed*(requests.DefaultRetryExtra+requests.DefaultRetryShare*200))
+	require.LessOrEqual(t, float64(resent), requests.RetryBudgetFraction*(requests.DefaultRetryExtra+requests.DefaultRetryShare*200))
 }
 
 // askForBackoff has a worker decline another request and ask for a pause.
@@ -133,7 +133,7 @@
 			return s
 		}},
 		"its zone's time ends": {before: func(s requests.State, _ registry.Worker) requests.State {
-			return s.WithDrained(drain("z"))
+			return s.WithDrainedZones(drain("z"))
 		}},
 	}
 	for name, tt := range tests {
--- a/core/requests/restart.go
+++ b/core/requests/restart.go
@@ -52,7 +52,7 @@
 func (t *transition) loseAttempts(id ident.Target, life uint64) {
 	for request, c := range t.calls.All() {
 		if c.target == id && c.life == life && !c.pausing {
-			t.out = append(t.out, BreakOff{Request: request, Attempt: c.attempt})
+			t.out = append(t.out, AbortAttempt{Request: request, Attempt: c.attempt})
 		}
 	}
 }
--- a/core/requests/restart_test.go
+++ b/core/requests/restart_test.go
@@ -63,10 +63,10 @@
 		first := d.(requests.Dispatch)
 		require.Equal(t, 1, countIn(s.Loads(start)))
 		s, decisions := register(s, startedAgain(first.Worker), start)
-		require.Equal(t, requests.BreakOff{Request: "1", Attempt: first.Attempt}, only(t, decisions))
+		require.Equal(t, requests.AbortAttempt{Request: "1", Attempt: first.Attempt}, only(t, decisions))
 		require.Zero(t, countIn(s.Loads(start)), "the new process has none of it")
 		s, decisions = requests.Reduce(s, requests.AttemptEnded{
-			Request: "1", Attempt: first.Attempt, Result: outcome.Broken{Silent: true}, Wanted: true,
+			Request: "1", Attempt: first.Attempt, Result: outcome.Broken{Silent: true}, CallerWaiting: true,
 		}, start)
 		switch next := only(t, decisions).(type) {
 		case requests.Dispatch:
@@ -123,7 +123,7 @@
 		r.Prompt = shared()
 		s, _ := requests.Reduce(s, requests.Confirmed{Confirmation: confirmation.At(now)}, now)
 		s, _ = arrive(t, s, r, now)
-		_, decisions := requests.Reduce(s, requests.AttemptEnded{Request: "3", Attempt: 1, Result: outcome.Declined{}, Wanted: true}, now)
+		_, decisions := requests.Reduce(s, requests.AttemptEnded{Request: "3", Attempt: 1, Result: outcome.Declined{}, CallerWaiting: true}, now)
 		return only(t, decisions).(requests.Dispatch)
 	}
 	require.NotEqual(t, keeper.Address, elsewhere(start.Add(time.Second)).CacheFrom)
@@ -170,5 +170,5 @@
 		w.State = registry.Gone
 		s, _ = register(s, w, now.Add(time.Second))
 	}
-	require.Less(t, s.KnownWorkers(), 20)
+	require.Less(t, s.WorkerCount(), 20)
 }
--- a/core/requests/retry_test.go
+++ b/core/requests/retry_test.go
@@ -21,7 +21,7 @@
 // stays within the share of requests and the host's part of the extra ones.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	const total, hosts = 400, 4
-	s, now := ready(8).WithHosts(hosts), start
+	s, now := ready(8).WithHostCount(hosts), start
 	dispatched := 0
 	for i := range total {
 		id := fmt.Sprintf("r%d", i)
@@ -35,12 +35,12 @@
 			dispatched++
 			var decisions []requests.Decision
 			s, decisions = requests.Reduce(s, requests.AttemptEnded{
-				Request: ident.Request(id), Attempt: dispatch.Attempt, Result: outcome.Answered{Status: 500}, Wanted: true,
+				Request: ident.Request(id), Attempt: dispatch.Attempt, Result: outcome.Answered{Status: 500}, CallerWaiting: true,
 			}, now)
 			d = only(t, decisions)
 		}
 	}
-	require.LessOrEqual(t, float64(dispatched-total), requests.BudgetUsed*(requests.DefaultRetryShare*total+requests.DefaultRetryExtra/hosts)+1)
+	require.LessOrEqual(t, float64(dispatched-total), requests.RetryBudgetFraction*(requests.DefaultRetryShare*total+requests.DefaultRetryExtra/hosts)+1)
 	require.Greater(t, dispatched, total)
 }
 
@@ -55,7 +55,7 @@
 	run := func(lends bool) (most, total int) {
 		states := make([]requests.State, hosts)
 		for i := range states {
-			states[i] = readyWith(requests.Settings{Zone: "z", RetryExtra: extra}, 8).WithHosts(hosts)
+			states[i] = readyWith(requests.Settings{Zone: "z", RetryExtra: extra}, 8).WithHostCount(hosts)
 		}
 		var reports []loads.Digest
 		sent := make([]int, seconds)
@@ -67,15 +67,15 @@
 			var d requests.Decision
 			states[i], d = arrive(t, states[i], request(string(id), "/safe/x"), now)
 			_, decisions := requests.Reduce(states[i], requests.AttemptEnded{
-				Request: id, Attempt: d.(requests.Dispatch).Attempt, Result: outcome.Declined{}, Wanted: true,
+				Request: id, Attempt: d.(requests.Dispatch).Attempt, Result: outcome.Declined{}, CallerWaiting: true,
 			}, now)
 			states[i], _ = requests.Reduce(states[i], requests.AttemptEnded{
-				Request: id, Attempt: d.(requests.Dispatch).Attempt, Result: outcome.Declined{}, Wanted: true,
+				Request: id, Attempt: d.(requests.Dispatch).Attempt, Result: outcome.Declined{}, CallerWaiting: true,
 			}, now)
 			if again, ok := only(t, decisions).(requests.Dispatch); ok {
 				sent[tick/perSecond]++
 				states[i], _ = requests.Reduce(states[i], requests.AttemptEnded{
-					Request: id, Attempt: again.Attempt, Result: outcome.Answered{Status: 200}, Wanted: true,
+					Request: id, Attempt: again.Attempt, Result: outcome.Answered{Status: 200}, CallerWaiting: true,
 				}, now)
 			}
 			if tick%(perSecond/3) == 0 {
@@ -105,7 +105,7 @@
 	}
 	_, alone := run(false)
 	most, together := run(true)
-	allowance := requests.BudgetUsed * (requests.DefaultRetryShare*perSecond*window + extra)
+	allowance := requests.RetryBudgetFraction * (requests.DefaultRetryShare*perSecond*window + extra)
 	t.Logf("in all: %d alone, %d with lending, of which %d in %d s, %.0f allowed", alone, together, most, window, allowance)
 	require.LessOrEqual(t, float64(most), allowance)
 	require.Greater(t, together, alone)
--- a/core/requests/retrybudget.go
+++ b/core/requests/retrybudget.go
@@ -24,10 +24,10 @@
 // Inputs: RetryShare (a part of requests), RetryExtra (requests), the number of entry hosts,
 // and the fleet's spending as of the last report.
 const (
-	// BudgetUsed is the part of the fleet's allowance that hosts use. The rest covers
+	// RetryBudgetFraction is the part of the fleet's allowance that hosts use. The rest covers
 	// hosts that count fewer entry hosts than there are, as after a start. Chosen, not
 	// measured.
-	BudgetUsed = 0.6
+	RetryBudgetFraction = 0.6
 	// lentPart allows for reports that are up to ten report intervals old.
 	lentPart = 0.1
 	// spendingWindow is the time over which spending is added up, in seconds: as long as
@@ -89,13 +89,13 @@
 	if !b.begun {
 		b = budget{tokens: most, begun: true}
 	}
-	b.tokens = min(max(most, 1), b.tokens+BudgetUsed*t.settings.RetryShare)
+	b.tokens = min(max(most, 1), b.tokens+RetryBudgetFraction*t.settings.RetryShare)
 	t.budgets = t.budgets.With(pool, b)
 }
 
 // retryPart is this host's part of RetryExtra.
 func (t *transition) retryPart() float64 {
-	return BudgetUsed * t.settings.RetryExtra / float64(t.hosts)
+	return RetryBudgetFraction * t.settings.RetryExtra / float64(t.hosts)
 }
 
 // spendRetry charges the budget of a pool for one retry.
@@ -127,7 +127,7 @@
 func (t *transition) lendRetries() {
 	for pool, b := range t.budgets.All() {
 		fleet := t.reported[retriesTag(pool)] + b.spent.sum(t.now)
-		left := max(0, BudgetUsed*t.settings.RetryExtra-float64(fleet))
+		left := max(0, RetryBudgetFraction*t.settings.RetryExtra-float64(fleet))
 		part := lentPart * left / float64(t.hosts)
 		b.lent = min(max(0, b.lent)+part, 1+part)
 		t.budgets = t.budgets.With(pool, b)
--- a/core/requests/start.go
+++ b/core/requests/start.go
@@ -46,22 +46,22 @@
 	until time.Time
 }
 
-// WithStart returns the state of a host that started at a time.
-func (s State) WithStart(now time.Time) State {
+// WithStartedAt returns the state of a host that started at a time.
+func (s State) WithStartedAt(now time.Time) State {
 	s.started = now
 	return s
 }
 
-// Waiting is how many requests wait for this host to start.
-func (s State) Waiting() int { return s.waiting.Len() }
+// WaitingCount is how many requests wait for this host to start.
+func (s State) WaitingCount() int { return s.waiting.Len() }
 
 // Starting tells whether the host may still come to serve for the first time.
 func (s State) Starting(now time.Time) bool {
-	return !s.started.IsZero() && now.Sub(s.started) < s.settings.StartTime
+	return !s.started.IsZero() && now.Sub(s.started) < s.settings.StartupTimeout
 }
 
-// HasWorkers tells whether a healthy worker of every pool in use is known.
-func (s State) HasWorkers(now time.Time) bool {
+// HasHealthyWorkers tells whether a healthy worker of every pool in use is known.
+func (s State) HasHealthyWorkers(now time.Time) bool {
 	for _, pool := range s.index.Used() {
 		if !s.hasHealthyWorker(pool, now) {
 			return false
@@ -104,7 +104,7 @@
 	if !t.Starting(t.now) || t.canServe(r) {
 		return false
 	}
-	likely := t.started.Add(time.Duration(usualStart * float64(t.settings.StartTime)))
+	likely := t.started.Add(time.Duration(usualStart * float64(t.settings.StartupTimeout)))
 	until, rank := t.waitLimit(r)
 	if until.Before(likely) {
 		t.refuse(r.ID, CodeNotReady, "this host starts and will not be able to serve in time", max(retryAfter, likely.Sub(t.now)))
@@ -120,7 +120,7 @@
 // waitLimit is until when a request may wait: the end of the start, or of its own time
 // if that comes sooner.
 func (t *transition) waitLimit(r Request) (until time.Time, rank int) {
-	until = t.started.Add(t.settings.StartTime)
+	until = t.started.Add(t.settings.StartupTimeout)
 	if !r.Deadline.IsZero() && r.Deadline.Before(until) {
 		until = r.Deadline
 	}
--- a/core/requests/start_test.go
+++ b/core/requests/start_test.go
@@ -21,7 +21,7 @@
 
 // newStarted returns a gateway that has just started and knows nothing.
 func newStarted() requests.State {
-	return requests.New(requests.Settings{Zone: "z", StartTime: startTime}).WithHosts(1).WithStart(start)
+	return requests.New(requests.Settings{Zone: "z", StartupTimeout: startTime}).WithHostCount(1).WithStartedAt(start)
 }
 
 // withDeadline returns a request whose caller waits for a while from now on.
@@ -35,7 +35,7 @@
 // at each.
 func become(s requests.State, now time.Time) (requests.State, [][]requests.Decision) {
 	out := make([][]requests.Decision, 0, 2)
-	s = s.WithConfig(table())
+	s = s.WithRouteTable(table())
 	for _, ev := range []requests.Event{
 		requests.Confirmed{Confirmation: confirmation.At(now)},
 		requests.Registered{From: "r", Workers: append(workers("plain", 2), workers("engines", 2)...)},
@@ -68,7 +68,7 @@
 		}
 	}
 	require.Equal(t, []ident.Request{"soon", "late"}, order)
-	require.Zero(t, s.Waiting())
+	require.Zero(t, s.WaitingCount())
 	require.Zero(t, s.Counters().WaitedUnserved)
 }
 
@@ -135,7 +135,7 @@
 				wait := time.Duration(rapid.IntRange(1, 4000).Draw(t, "wait")) * time.Millisecond
 				feed(requests.Arrived{Request: withDeadline(fmt.Sprint(i), path, now, wait)})
 			case 3:
-				s = s.WithConfig(table())
+				s = s.WithRouteTable(table())
 				feed(requests.Confirmed{Confirmation: confirmation.At(now)})
 			case 4:
 				feed(requests.Registered{From: "r", Workers: []registry.Worker{workers("plain", 1)[0], workers("engines", 1)[0]}})
@@ -147,7 +147,7 @@
 		}
 		now = now.Add(startTime)
 		feed(requests.Tick{})
-		require.Zero(t, s.Waiting())
+		require.Zero(t, s.WaitingCount())
 		for id := range waits {
 			require.Equal(t, 1, ended[id], id)
 		}
@@ -167,6 +167,6 @@
 			}
 		}
 	}
-	require.Equal(t, 1100-s.Waiting(), refused)
-	require.Equal(t, 1024, s.Waiting())
+	require.Equal(t, 1100-s.WaitingCount(), refused)
+	require.Equal(t, 1024, s.WaitingCount())
 }
--- a/core/requests/timeouts.go
+++ b/core/requests/timeouts.go
@@ -40,7 +40,7 @@
 
 // headerLate gives the present attempt up where another one is allowed. The retry is
 // charged at once, so that it is sure.
-func (t *transition) headerLate(ev HeaderLate) {
+func (t *transition) headerLate(ev HeaderTimedOut) {
 	c, ok := t.calls.Get(ev.Request)
 	if !ok || c.attempt != ev.Attempt {
 		return
@@ -54,5 +54,5 @@
 	t.spendRetry(c.pool.ID)
 	c.paid = true
 	t.calls = t.calls.With(ev.Request, c)
-	t.out = append(t.out, GiveUp{Request: ev.Request})
+	t.out = append(t.out, CancelAttempt{Request: ev.Request})
 }
--- a/core/requests/timeouts_test.go
+++ b/core/requests/timeouts_test.go
@@ -19,7 +19,7 @@
 	s, d := arrive(t, s, request(id, path), start)
 	sent := d.(requests.Dispatch)
 	s, _ = requests.Reduce(s, requests.HeaderReceived{Worker: sent.Worker.ID, Route: sent.Route.Name, Took: head}, start)
-	s, _ = requests.Reduce(s, requests.AttemptEnded{Request: sent.Request, Attempt: sent.Attempt, Result: outcome.Answered{Status: 200}, Wanted: true}, start)
+	s, _ = requests.Reduce(s, requests.AttemptEnded{Request: sent.Request, Attempt: sent.Attempt, Result: outcome.Answered{Status: 200}, CallerWaiting: true}, start)
 	return s
 }
 
@@ -52,14 +52,14 @@
 		var d requests.Decision
 		s, d = arrive(t, s, request(fmt.Sprint(i), "/resumable/x"), start)
 		sent := d.(requests.Dispatch)
-		next, decisions := requests.Reduce(s, requests.HeaderLate{Request: sent.Request, Attempt: 1, Waited: sent.HeaderTimeout}, start)
+		next, decisions := requests.Reduce(s, requests.HeaderTimedOut{Request: sent.Request, Attempt: 1, Waited: sent.HeaderTimeout}, start)
 		s = next
 		if len(decisions) == 0 {
 			stayed++
 			continue
 		}
-		require.Equal(t, requests.GiveUp{Request: sent.Request}, only(t, decisions))
-		next, decisions = requests.Reduce(s, requests.AttemptEnded{Request: sent.Request, Attempt: 1, Result: outcome.Broken{Silent: true}, Wanted: true}, start)
+		require.Equal(t, requests.CancelAttempt{Request: sent.Request}, only(t, decisions))
+		next, decisions = requests.Reduce(s, requests.AttemptEnded{Request: sent.Request, Attempt: 1, Result: outcome.Broken{Silent: true}, CallerWaiting: true}, start)
 		s = next
 		again, ok := only(t, decisions).(requests.Dispatch)
 		require.True(t, ok, "request %d was given up with no other worker to go to", i)
@@ -68,7 +68,7 @@
 	}
 	require.Positive(t, moved)
 	require.Positive(t, stayed)
-	require.LessOrEqual(t, float64(moved), requests.BudgetUsed*(requests.DefaultRetryExtra+requests.DefaultRetryShare*360))
+	require.LessOrEqual(t, float64(moved), requests.RetryBudgetFraction*(requests.DefaultRetryExtra+requests.DefaultRetryShare*360))
 }
 
 // TestPausesFollowTheUsualTimes has a worker decline after fast answers, after slow ones
--- a/core/requests/worker.go
+++ b/core/requests/worker.go
@@ -116,7 +116,7 @@
 	}
 	if !known || have.State != next.State || startedAgain {
 		t.out = append(t.out, WorkerChanged{
-			Worker: next.Worker, Healthy: next.State == registry.Ready && !next.saysLeaving, Why: why(startedAgain, from),
+			Worker: next.Worker, Healthy: next.State == registry.Ready && !next.saysLeaving, Reason: why(startedAgain, from),
 		})
 	}
 	t.workers = t.workers.With(r.ID, next)
--- a/core/requests/worker_test.go
+++ b/core/requests/worker_test.go
@@ -33,7 +33,7 @@
 	s := ready(1)
 	s, d := arrive(t, s, request("1", "/unsafe/x"), start)
 	s, _ = requests.Reduce(s, requests.AttemptEnded{
-		Request: "1", Attempt: d.(requests.Dispatch).Attempt, Result: outcome.Declined{Leaving: true}, Wanted: true,
+		Request: "1", Attempt: d.(requests.Dispatch).Attempt, Result: outcome.Declined{Leaving: true}, CallerWaiting: true,
 	}, start)
 	_, d = arrive(t, s, request("2", "/unsafe/x"), start.Add(time.Minute))
 	require.IsType(t, requests.Finish{}, d)
@@ -48,7 +48,7 @@
 		var d requests.Decision
 		s, d = arrive(t, s, request(id, "/unsafe/x"), start)
 		s, _ = requests.Reduce(s, requests.AttemptEnded{
-			Request: ident.Request(id), Attempt: d.(requests.Dispatch).Attempt, Result: outcome.Broken{}, Wanted: true,
+			Request: ident.Request(id), Attempt: d.(requests.Dispatch).Attempt, Result: outcome.Broken{}, CallerWaiting: true,
 		}, start)
 	}
 	_, d := arrive(t, s, request("last", "/safe/x"), start)
--- a/core/requests/workerhealth.go
+++ b/core/requests/workerhealth.go
@@ -38,7 +38,7 @@
 	t.workers = t.workers.With(c.target, w)
 	if after := w.healthy(t.now); after != before {
 		t.out = append(t.out, WorkerChanged{
-			Worker: w.Worker, Healthy: after, Failures: w.health.Failures, Why: evidence(a),
+			Worker: w.Worker, Healthy: after, Failures: w.health.Failures, Reason: evidence(a),
 		})
 	}
 }
--- a/core/requests/zones_test.go
+++ b/core/requests/zones_test.go
@@ -83,7 +83,7 @@
 				result = h.silence()
 			}
 		}
-		next := h.feed(requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, Wanted: true})
+		next := h.feed(requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, CallerWaiting: true})
 		again, ok := next.(requests.Dispatch)
 		if !ok {
 			return tries
@@ -159,7 +159,7 @@
 		} else if h.zones[d.Worker.ID] == "y" {
 			others++
 		}
-		h.feed(requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, Wanted: false})
+		h.feed(requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, CallerWaiting: false})
 		h.now = h.now.Add(10 * time.Millisecond)
 		for _, w := range h.probes {
 			h.feed(requests.ProbeEnded{Worker: w.ID, OK: !dark[w.ID]})
@@ -175,7 +175,7 @@
 	h := newZoned(t, 4)
 	for range 40 {
 		d := h.ask()
-		h.feed(requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: outcome.NeverSent{Reason: "refused"}, Wanted: false})
+		h.feed(requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: outcome.NeverSent{Reason: "refused"}, CallerWaiting: false})
 		h.now = h.now.Add(10 * time.Millisecond)
 	}
 	h.now = h.now.Add(time.Minute)
--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -37,7 +37,7 @@
 	return requests.Settings{
 		Host: s.ID(), Zone: ident.Zone(s.Host.Zone), KeyLease: g.KeyLease, ZoneDrain: g.ZoneDrain,
 		RetryShare: settings.Number(g.RetryShare), RetryExtra: settings.Number(g.RetryExtra),
-		LoadFactor: settings.Number(g.LoadFactor), StartTime: host.StartTime(),
+		LoadFactor: settings.Number(g.LoadFactor), StartupTimeout: host.StartTime(),
 	}
 }
 
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -56,7 +56,7 @@
 	writes   map[string]chan writeAnswer
 	reads    map[string]chan bool
 	// breakOff ends an attempt whose worker has ended; it does not wait.
-	breakOff func(requests.BreakOff)
+	breakOff func(requests.AbortAttempt)
 	// waits take the next decision for each request that waits; under
 	// reducing.
 	waits map[ident.Request]chan requests.Decision
@@ -67,7 +67,7 @@
 		log: log, notes: newNoteLog(log), now: clock.Now, events: make(chan host.Event, eventQueue), pool: pool, targets: t,
 		done: make(chan struct{}), calls: map[ident.Request]chan host.Effect{}, writes: map[string]chan writeAnswer{},
 		reads:    map[string]chan bool{},
-		breakOff: func(requests.BreakOff) {},
+		breakOff: func(requests.AbortAttempt) {},
 		waits:    map[ident.Request]chan requests.Decision{},
 		reduced:  new(expvar.Int), answers: &callers.Answers{}, delays: newDelays(log), pace: newPace(),
 	}
@@ -116,7 +116,7 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case host.RequestDecision:
-			if b, ok := e.Decision.(requests.BreakOff); ok {
+			if b, ok := e.Decision.(requests.AbortAttempt); ok {
 				l.breakOff(b)
 			} else if !l.toWaiting(e.Decision) {
 				own = append(own, e)
--- a/daemon/requestlog.go
+++ b/daemon/requestlog.go
@@ -83,7 +83,7 @@
 		fields = append(fields, tryFields(o, o.Tries[last])...)
 	} else {
 		fields = append(fields, "request", string(o.Request.ID), "route", o.Request.Host+o.Request.Path,
-			"table", o.Inputs.Number, "table_age_ms", millis(o.Inputs.ConfigAge))
+			"table", o.Inputs.TableNumber, "table_age_ms", millis(o.Inputs.ConfigAge))
 	}
 	return fields
 }
@@ -95,8 +95,8 @@
 	fields := []any{
 		"request", string(o.Request.ID), "route", d.Route.Name, "account", string(d.Account), "content", d.Content.String(), "try", d.Attempt,
 		"worker", string(d.Worker.ID), "at", d.Worker.Address, "worker_seq", d.Worker.Seq, "worker_born", d.Worker.Born.String(),
-		"load", in.Load, "load_age_ms", millis(in.LoadAge), "mean", fmt.Sprintf("%.1f", in.Mean),
-		"kind", string(in.Kind), "choice", in.Choice, "of", in.Candidates, "table", in.Number, "table_age_ms", millis(in.ConfigAge),
+		"load", in.Load, "load_age_ms", millis(in.LoadAge), "mean", fmt.Sprintf("%.1f", in.MeanLoad),
+		"kind", string(in.Kind), "choice", in.Position, "of", in.Candidates, "table", in.TableNumber, "table_age_ms", millis(in.ConfigAge),
 		"result", resultText(try.Result), "try_ms", millis(try.Took),
 	}
 	if in.LastResort {
@@ -105,7 +105,7 @@
 	if in.DeclinedAgo >= 0 {
 		fields = append(fields, "declined_ago_ms", millis(in.DeclinedAgo), "backoff_left_ms", millis(in.BackoffLeft))
 	}
-	if d.CacheFrom != "" && in.Choice > 0 {
+	if d.CacheFrom != "" && in.Position > 0 {
 		fields = append(fields, "cache_from", d.CacheFrom)
 	}
 	return fields
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -54,7 +54,7 @@
 
 func (c *serverCall) refuse(v requests.Verdict) {
 	h := c.writer.Header()
-	if v.Elsewhere {
+	if v.TryOtherHost {
 		h.Set("Connection", "close")
 	}
 	if v.RetryAfter > 0 {
--- a/gateway/breakoff.go
+++ b/gateway/breakoff.go
@@ -42,7 +42,7 @@
 }
 
 // BreakOff ends an attempt whose worker has ended. It does not wait.
-func (s *Server) BreakOff(b requests.BreakOff) {
+func (s *Server) BreakOff(b requests.AbortAttempt) {
 	s.running.mu.Lock()
 	defer s.running.mu.Unlock()
 	x := s.running.exchanges[b.Request]
--- a/gateway/breakoff_test.go
+++ b/gateway/breakoff_test.go
@@ -24,7 +24,7 @@
 		<-got
 		w.Born++
 		for _, d := range b.core.Decide(requests.Registered{Workers: []registry.Worker{w}}) {
-			if off, ok := d.(requests.BreakOff); ok {
+			if off, ok := d.(requests.AbortAttempt); ok {
 				b.server.BreakOff(off)
 			}
 		}
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -35,7 +35,7 @@
 			c.observed.Waited = c.server.now().Sub(c.begun)
 		case requests.Pause:
 			pauseFor(c.request.Context(), d.For)
-			next = c.server.nextDecision(requests.PauseEnded{Request: d.Request, Wanted: c.request.Context().Err() == nil})
+			next = c.server.nextDecision(requests.PauseEnded{Request: d.Request, CallerWaiting: c.request.Context().Err() == nil})
 		case requests.Dispatch:
 			next = c.server.nextDecision(c.try(d))
 		case requests.Finish:
@@ -72,7 +72,7 @@
 	if late {
 		return requests.Expired{Request: d.Request}
 	}
-	return requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, Wanted: !gone}
+	return requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, CallerWaiting: !gone}
 }
 
 // pauseFor waits for a while, or until ctx ends.
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -180,7 +180,7 @@
 	_, err := readBody(resp)
 	x.end(resp, err == nil && !misdirected)
 	said := x.server.headers.notice(resp, x.server.now())
-	return outcome.Declined{Reason: resp.Status, Leaving: misdirected, RetryAfter: max(said.Backoff, said.Reluctance)}
+	return outcome.Declined{Reason: resp.Status, Leaving: misdirected, RetryAfter: max(said.Backoff, said.SoftBackoff)}
 }
 
 // end keeps the connection for another request, or closes it.
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -17,7 +17,7 @@
 	case http.StatusMisdirectedRequest:
 		return requests.Notice{}
 	case http.StatusTooManyRequests:
-		return requests.Notice{Leaving: h.leaving(resp.Header), Reluctance: retryafter.Of(resp.Header, now)}
+		return requests.Notice{Leaving: h.leaving(resp.Header), SoftBackoff: retryafter.Of(resp.Header, now)}
 	case http.StatusServiceUnavailable:
 		return requests.Notice{Leaving: h.leaving(resp.Header), Backoff: retryafter.Of(resp.Header, now)}
 	}
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -29,7 +29,7 @@
 		"does not leave":                       {status: 200, leaving: "0"},
 		"another process answers":              {status: 421, leaving: "1", retryAfter: "3"},
 		"whole seconds":                        {status: 503, retryAfter: "3", want: backoff(3 * time.Second)},
-		"too many requests":                    {status: 429, retryAfter: "2", want: requests.Notice{Reluctance: 2 * time.Second}},
+		"too many requests":                    {status: 429, retryAfter: "2", want: requests.Notice{SoftBackoff: 2 * time.Second}},
 		"leaves and backs off":                 {status: 503, leaving: "1", retryAfter: "1", want: requests.Notice{Leaving: true, Backoff: time.Second}},
 		"advice with a whole answer":           {status: 200, retryAfter: "3"},
 		"declined without saying for how long": {status: 503},
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -162,8 +162,8 @@
 // givesUp tells whether a try without an answer so far is to end, as the request goes
 // elsewhere.
 func (s *Server) givesUp(d requests.Dispatch, waited time.Duration) bool {
-	for _, decision := range s.core.Decide(requests.HeaderLate{Request: d.Request, Attempt: d.Attempt, Waited: waited}) {
-		if g, ok := decision.(requests.GiveUp); ok && g.Request == d.Request {
+	for _, decision := range s.core.Decide(requests.HeaderTimedOut{Request: d.Request, Attempt: d.Attempt, Waited: waited}) {
+		if g, ok := decision.(requests.CancelAttempt); ok && g.Request == d.Request {
 			return true
 		}
 	}
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -92,7 +92,7 @@
 		Keys: []config.KeyOwner{{Account: "halls", KeyHashes: []string{keys.Hash(callerKey)}}},
 	}
 	b := &bench{t: t, core: &fakeCore{}, pool: gateway.NewPool(nil)}
-	b.core.state = requests.New(requests.Settings{KeyLease: time.Hour}).WithConfig(table).WithHosts(1)
+	b.core.state = requests.New(requests.Settings{KeyLease: time.Hour}).WithRouteTable(table).WithHostCount(1)
 	registered := make([]registry.Worker, 0, workers)
 	for i := range workers {
 		w, err := standin.StartWorker("127.0.0.1:0", fmt.Sprintf("w%d", i), workerNames())
