--- a/targets/contract.go
+++ b/targets/contract.go
@@ -7,8 +7,8 @@
 //
 //	c := targets.NewClient(targets.Options{})
 //	answer := c.Do(ctx, exchange)        // one attempt of a caller's request
-//	report, err := c.Load(ctx, address)  // an engine's load report
-//	err = c.Order(ctx, order)            // a fenced order
+//	report, err := c.FetchLoad(ctx, address) // an engine's load report
+//	err = c.SendOrder(ctx, order)            // a fenced order
 //
 // A request is sent at most once per call of Do: nothing below it resends.
 package targets
