--- a/callers/serve.go
+++ b/callers/serve.go
@@ -129,7 +129,7 @@
 	x.Header.Set(targets.HeaderPriority, strconv.Itoa(d.Rank))
 	result := a.deps.Targets.Do(ctx, x)
 	if _, gone := result.(outcome.Abandoned); gone && errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return outcome.Broken{Reason: "the deadline passed", Begun: true}
+		return outcome.Interrupted{Reason: "the deadline passed", AnswerStarted: true}
 	}
 	return result
 }
--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -147,12 +147,12 @@
 
 // changeZone drains a zone or takes it back.
 func (c Catalog) changeZone(actor string, cmd ChangeZone) (Catalog, Result) {
-	if err := cmd.Check(); err != nil {
+	if err := cmd.Validate(); err != nil {
 		return c, Result{Code: Invalid, Reason: err.Error(), Zones: c.Zones.Revision}
 	}
-	next, outcome := c.Zones.With(cmd.Change)
+	next, outcome := c.Zones.Apply(cmd.Change)
 	switch outcome {
-	case zones.Overtaken:
+	case zones.Superseded:
 		return c, Result{Code: Overtaken, Reason: "another order for the zone came first", Zones: c.Zones.Revision}
 	case zones.TooMany:
 		return c, Result{Code: Invalid, Reason: "orders for too many zones are remembered", Zones: c.Zones.Revision}
--- a/core/catalog/zone_test.go
+++ b/core/catalog/zone_test.go
@@ -28,7 +28,7 @@
 	require.Equal(t, uint64(1), r.Zones)
 	c, r = c.Apply(Write{Command: Edit{Change: config.PutRouteTable{Gateway: config.RouteTable{Number: 3}}}})
 	require.Equal(t, OK, r.Code)
-	require.True(t, c.Zones.Has("hall-a"))
+	require.True(t, c.Zones.IsDrained("hall-a"))
 	restored, err := Decode(c.Encode())
 	require.NoError(t, err)
 	require.Equal(t, c.Zones, restored.Zones)
@@ -51,7 +51,7 @@
 	}
 	c, r = c.Apply(zoneWrite("b", true, 0))
 	require.Equal(t, OK, r.Code, "zones do not hold each other up")
-	require.True(t, c.Zones.Has("hall-b"))
+	require.True(t, c.Zones.IsDrained("hall-b"))
 }
 
 // TestEarlierReplicasPassOverZones reads the log record of an order as a program does that
--- a/core/confirmation/confirmation.go
+++ b/core/confirmation/confirmation.go
@@ -26,27 +26,27 @@
 // At is the confirmation of a leader at a time.
 func At(asOf time.Time) Confirmation { return Confirmation{AsOf: asOf} }
 
-// OfReply is the confirmation in the reply to a poll that was sent at a time; age is how
+// FromReply is the confirmation in the reply to a poll that was sent at a time; age is how
 // old it was where the reply came from, 0 at a leader.
-func OfReply(sent time.Time, age time.Duration) Confirmation {
+func FromReply(sent time.Time, age time.Duration) Confirmation {
 	return At(sent.Add(-age))
 }
 
-// Newest returns the later one of two.
-func (c Confirmation) Newest(other Confirmation) Confirmation {
+// Latest returns the later one of two.
+func (c Confirmation) Latest(other Confirmation) Confirmation {
 	if other.AsOf.After(c.AsOf) {
 		return other
 	}
 	return c
 }
 
-// Never tells whether there has been none.
-func (c Confirmation) Never() bool { return c.AsOf.IsZero() }
+// IsZero tells whether there has been none.
+func (c Confirmation) IsZero() bool { return c.AsOf.IsZero() }
 
 // Age is the time since the as-of time; meaningless where there has been none.
 func (c Confirmation) Age(now time.Time) time.Duration { return now.Sub(c.AsOf) }
 
 // Valid tells whether a lease of some length that runs from the as-of time still holds.
 func (c Confirmation) Valid(lease time.Duration, now time.Time) bool {
-	return !c.Never() && c.Age(now) < lease
+	return !c.IsZero() && c.Age(now) < lease
 }
--- a/core/confirmation/confirmation_test.go
+++ b/core/confirmation/confirmation_test.go
@@ -28,7 +28,7 @@
 			now = now.Add(delay.Draw(t, "before the reply"))
 			age := held.Age(now)
 			now = now.Add(delay.Draw(t, "on the way"))
-			held = confirmation.OfReply(sent, age)
+			held = confirmation.FromReply(sent, age)
 			require.False(t, held.AsOf.After(start))
 		}
 		require.LessOrEqual(t, held.Age(now), 2*now.Sub(start))
@@ -38,8 +38,8 @@
 func TestLeaseRunsFromTheAsOfTime(t *testing.T) {
 	c := confirmation.Confirmation{}
 	require.False(t, c.Valid(time.Hour, start), "there has been none")
-	c = c.Newest(confirmation.Confirmation{AsOf: start})
-	c = c.Newest(confirmation.OfReply(start, time.Second))
+	c = c.Latest(confirmation.Confirmation{AsOf: start})
+	c = c.Latest(confirmation.FromReply(start, time.Second))
 	require.True(t, c.Valid(time.Second, start.Add(time.Second-1)), "an older one changes nothing")
 	require.False(t, c.Valid(time.Second, start.Add(time.Second)))
 }
--- a/core/crashes/answers.go
+++ b/core/crashes/answers.go
@@ -17,16 +17,16 @@
 	maxAnswers = 512
 )
 
-// Answers are the requests that a host has lately had answered, so that it can tell of those
+// RecentAnswers are the requests that a host has lately had answered, so that it can tell of those
 // under which workers seem to end. It is immutable; the zero value is empty. Two halves take
 // turns: what is in neither is forgotten.
-type Answers struct {
+type RecentAnswers struct {
 	newer, older table.Table[Content, time.Time]
 	since        time.Time
 }
 
 // With takes an answer that was no failure.
-func (a Answers) With(content Content, now time.Time) Answers {
+func (a RecentAnswers) With(content Content, now time.Time) RecentAnswers {
 	if content == "" {
 		return a
 	}
@@ -37,8 +37,8 @@
 	return a
 }
 
-// At is when a request was answered last; false where that is not known, or long ago.
-func (a Answers) At(content Content, now time.Time) (time.Time, bool) {
+// LastAnswered is when a request was answered last; false where that is not known, or long ago.
+func (a RecentAnswers) LastAnswered(content Content, now time.Time) (time.Time, bool) {
 	at, ok := a.newer.Get(content)
 	if !ok {
 		at, ok = a.older.Get(content)
--- a/core/crashes/crashes.go
+++ b/core/crashes/crashes.go
@@ -34,35 +34,35 @@
 	Worker  ident.Target
 	SentAt  time.Time
 	EndedAt time.Time
-	// Begun is set where the caller had already seen part of the answer.
-	Begun bool
+	// AnswerStarted is set where the caller had already seen part of the answer.
+	AnswerStarted bool
 }
 
 const (
-	// EndsToRefuse is how many workers in a row end under a request until it is refused.
+	// CrashesToRefuse is how many workers in a row end under a request until it is refused.
 	// Each costs its callers all that the worker runs, some ten requests and up to its
 	// slots; but a request that has merely met two such ends is not rare while another one
 	// ends workers: its second attempt goes where that one goes next.
-	EndsToRefuse = 3
+	CrashesToRefuse = 3
 	// endsToWatch is the number of ends from which hosts report if a worker answers the
 	// request after all.
-	endsToWatch = EndsToRefuse - 1
+	endsToWatch = CrashesToRefuse - 1
 	// refuseFor is how long a request is refused after the last end under it. Chosen, not
 	// measured: a caller that goes on sending it then costs a worker every ten minutes, and
 	// one whose workers were replaced by better ones waits no longer.
 	refuseFor = 10 * time.Minute
-	// Remembered is how long after the last end a request is remembered: one that is let
+	// Retention is how long after the last end a request is remembered: one that is let
 	// through after refuseFor and ends another worker is refused again at once. Chosen, not
 	// measured.
-	Remembered = time.Hour
+	Retention = time.Hour
 	// sameEnd is the time within which reports of the end of a worker mean the same end:
 	// reports are some poll intervals old, and a process needs longer to start again.
 	sameEnd = time.Second
-	// AnswersWithin is the time that hosts have to report answers before a request is refused:
+	// AnswerReportWindow is the time that hosts have to report answers before a request is refused:
 	// a list reaches them through hubs, and their polls come back, in less. Measured with
 	// ends that are proved 3 s late, 40 seeds: a popular request was refused in none; one that
 	// ends workers was sent more than three times after that in none, in one with 600 ms.
-	AnswersWithin = 400 * time.Millisecond
+	AnswerReportWindow = 400 * time.Millisecond
 	// transit is the difference that ages allow for between two hosts' reports: they lack
 	// the time that a message was on its way.
 	transit = 100 * time.Millisecond
--- a/core/crashes/evidence.go
+++ b/core/crashes/evidence.go
@@ -64,7 +64,7 @@
 // With adds a crash under a request. One that is known already changes at most when the
 // request was sent to the worker last.
 func (e Evidence) With(content Content, c Crash, now time.Time) Evidence {
-	if content == "" || now.Sub(c.EndedAt) > Remembered {
+	if content == "" || now.Sub(c.EndedAt) > Retention {
 		return e
 	}
 	if at, ok := e.answered.Get(content); ok && !c.EndedAt.After(at) {
@@ -76,7 +76,7 @@
 	}
 	next := slices.Clone(known.crashes)
 	if i := slices.IndexFunc(next, c.isSameEnd); i >= 0 {
-		next[i].Begun = next[i].Begun && c.Begun
+		next[i].AnswerStarted = next[i].AnswerStarted && c.AnswerStarted
 		if c.SentAt.After(next[i].SentAt) {
 			next[i].SentAt = c.SentAt
 		}
@@ -95,9 +95,9 @@
 	return e
 }
 
-// Without forgets the crashes of a request before it was answered, also those that are still
+// WithAnswer forgets the crashes of a request before it was answered, also those that are still
 // to be reported.
-func (e Evidence) Without(content Content, answeredAt time.Time) Evidence {
+func (e Evidence) WithAnswer(content Content, answeredAt time.Time) Evidence {
 	if before, ok := e.answered.Get(content); !ok || answeredAt.After(before) {
 		e.answered = e.answered.With(content, answeredAt)
 	}
@@ -117,10 +117,10 @@
 	return e
 }
 
-// Forget drops the requests whose last end is long ago.
-func (e Evidence) Forget(now time.Time) Evidence {
+// Expire drops the requests whose last end is long ago.
+func (e Evidence) Expire(now time.Time) Evidence {
 	for content, known := range e.byContent.All() {
-		if now.Sub(lastEnd(known.crashes)) > Remembered {
+		if now.Sub(lastEnd(known.crashes)) > Retention {
 			e.byContent = e.byContent.Without(content)
 		}
 	}
@@ -167,9 +167,9 @@
 	ends    int
 }
 
-// Judged returns an entry for each request under which endsToWatch workers or more ended in
+// Evaluate returns an entry for each request under which endsToWatch workers or more ended in
 // a row.
-func (e Evidence) Judged(now time.Time) []Entry {
+func (e Evidence) Evaluate(now time.Time) []Entry {
 	var out []Entry
 	explained := ends{}
 	for _, s := range e.suspects() {
@@ -178,11 +178,11 @@
 		if n < endsToWatch {
 			continue
 		}
-		if n >= EndsToRefuse {
+		if n >= CrashesToRefuse {
 			explained.add(left)
 		}
-		if at := lastEnd(left); now.Sub(at) <= Remembered {
-			out = append(out, Entry{Content: s.content, Ends: min(n, EndsToRefuse), At: at})
+		if at := lastEnd(left); now.Sub(at) <= Retention {
+			out = append(out, Entry{Content: s.content, Crashes: min(n, CrashesToRefuse), At: at})
 		}
 	}
 	return out
@@ -193,14 +193,14 @@
 	fresh := ends{}
 	for _, known := range e.byContent.All() {
 		for _, c := range known.crashes {
-			if !c.Begun {
+			if !c.AnswerStarted {
 				fresh.add([]Crash{c})
 			}
 		}
 	}
 	var out []suspected
 	for content, known := range e.byContent.All() {
-		own := slices.DeleteFunc(slices.Clone(known.crashes), func(c Crash) bool { return c.Begun && fresh.has(c) })
+		own := slices.DeleteFunc(slices.Clone(known.crashes), func(c Crash) bool { return c.AnswerStarted && fresh.has(c) })
 		if n := counted(own); n >= endsToWatch {
 			out = append(out, suspected{content: content, crashes: own, ends: n})
 		}
--- a/core/crashes/evidence_test.go
+++ b/core/crashes/evidence_test.go
@@ -43,10 +43,10 @@
 // judged are the ends that are held against each request, by its name.
 func judged(e crashes.Evidence, names ...string) map[string]int {
 	out := map[string]int{}
-	for _, entry := range e.Judged(start.Add(time.Minute)) {
+	for _, entry := range e.Evaluate(start.Add(time.Minute)) {
 		for _, name := range names {
 			if content(name) == entry.Content {
-				out[name] = entry.Ends
+				out[name] = entry.Crashes
 			}
 		}
 	}
@@ -60,8 +60,8 @@
 	require.Equal(t, map[string]int{"bad": 2}, judged(e, "bad"))
 	e = e.With(content("bad"), crash("w3", 3, 0.1), start)
 	require.Equal(t, map[string]int{"bad": 3}, judged(e, "bad"))
-	require.Empty(t, judged(e.Without(content("bad"), start.Add(3*time.Second)), "bad"), "a worker answered it")
-	late := e.Without(content("bad"), start.Add(1500*time.Millisecond))
+	require.Empty(t, judged(e.WithAnswer(content("bad"), start.Add(3*time.Second)), "bad"), "a worker answered it")
+	late := e.WithAnswer(content("bad"), start.Add(1500*time.Millisecond))
 	require.Equal(t, map[string]int{"bad": 2}, judged(late, "bad"), "answered before the last two ends")
 }
 
@@ -97,7 +97,7 @@
 
 	for i := range 3 {
 		c := crash(fmt.Sprint("w", i+1), float64(i+1), 0.05)
-		c.Begun = true
+		c.AnswerStarted = true
 		e = e.With(content("long answered"), c, start)
 	}
 	require.NotContains(t, judged(e, "long answered"), "long answered", "another one had just come to each")
@@ -115,7 +115,7 @@
 	var e crashes.Evidence
 	for i := range 3 {
 		c := crash(fmt.Sprint("w", i), float64(2*i), 0.5)
-		c.Begun = true
+		c.AnswerStarted = true
 		e = e.With(content("late"), c, start)
 	}
 	require.Equal(t, map[string]int{"late": 3}, judged(e, "late"))
@@ -134,7 +134,7 @@
 		e = e.With(content("bad"), crash("w", float64(60+2*i), 0.1), start.Add(time.Minute))
 	}
 	require.Equal(t, map[string]int{"bad": 3}, judged(e, "bad"))
-	require.Zero(t, e.Forget(start.Add(2*time.Hour)).Len())
+	require.Zero(t, e.Expire(start.Add(2*time.Hour)).Len())
 	require.Zero(t, crashes.Evidence{}.With("", crash("w", 1, 0.1), start).Len(), "a request that is not known by content")
 }
 
--- a/core/crashes/list.go
+++ b/core/crashes/list.go
@@ -18,7 +18,7 @@
 // with Ends 0 that a worker answered it at At after all.
 type Entry struct {
 	Content Content
-	Ends    int
+	Crashes int
 	At      time.Time
 }
 
@@ -29,7 +29,7 @@
 	if d := e.At.Sub(have.At); d.Abs() > sameEnd {
 		return d > 0
 	}
-	return e.Ends > have.Ends
+	return e.Crashes > have.Crashes
 }
 
 // List are the requests under which workers ended, as this host knows them. Lists of several
@@ -52,7 +52,7 @@
 func (l List) With(now time.Time, entries ...Entry) List {
 	for _, e := range entries {
 		have, known := l.byContent.Get(e.Content)
-		if e.Content == "" || now.Sub(e.At) > Remembered || known && !e.newer(have) {
+		if e.Content == "" || now.Sub(e.At) > Retention || known && !e.newer(have) {
 			continue
 		}
 		if e.At.After(now) {
@@ -68,14 +68,14 @@
 // bounded drops what is long ago, and what is too much.
 func (l List) bounded(now time.Time) List {
 	for content, e := range l.byContent.All() {
-		if now.Sub(e.At) > Remembered {
+		if now.Sub(e.At) > Retention {
 			l.byContent = l.byContent.Without(content)
 		}
 	}
 	for l.byContent.Len() > maxEntries {
 		var least Entry
 		for _, e := range l.byContent.All() {
-			if least.Content == "" || e.Ends < least.Ends || e.Ends == least.Ends && e.At.Before(least.At) {
+			if least.Content == "" || e.Crashes < least.Crashes || e.Crashes == least.Crashes && e.At.Before(least.At) {
 				least = e
 			}
 		}
@@ -91,7 +91,7 @@
 	}
 	parts := make([]string, 0, 2*l.byContent.Len()) //nolint:mnd // A content and a number each.
 	for content, e := range l.byContent.All() {
-		parts = append(parts, string(content), strconv.Itoa(e.Ends))
+		parts = append(parts, string(content), strconv.Itoa(e.Crashes))
 	}
 	return hash.Of(parts...)
 }
@@ -99,24 +99,24 @@
 // WithAnswer takes that a worker answered a request after all. Of one that is not listed it
 // says nothing.
 func (l List) WithAnswer(content Content, now time.Time) List {
-	if e, ok := l.byContent.Get(content); ok && e.Ends > 0 {
+	if e, ok := l.byContent.Get(content); ok && e.Crashes > 0 {
 		return l.With(now, Entry{Content: content, At: now})
 	}
 	return l
 }
 
-// Watched returns an entry as it stands while its request is only watched.
-func (e Entry) Watched() Entry {
-	e.Ends = min(e.Ends, endsToWatch)
+// AsWatched returns an entry as it stands while its request is only watched.
+func (e Entry) AsWatched() Entry {
+	e.Crashes = min(e.Crashes, endsToWatch)
 	return e
 }
 
-// Settled are the entries that decide what is refused: without those of requests that are
+// Decided are the entries that decide what is refused: without those of requests that are
 // only watched.
-func (l List) Settled() List {
+func (l List) Decided() List {
 	var out List
 	for content, e := range l.byContent.All() {
-		if e.Ends == 0 || e.Ends >= EndsToRefuse {
+		if e.Crashes == 0 || e.Crashes >= CrashesToRefuse {
 			out.byContent = out.byContent.With(content, e)
 		}
 	}
@@ -131,5 +131,5 @@
 func (l List) Refused(content Content, now time.Time) (until time.Time, refused bool) {
 	e, ok := l.byContent.Get(content)
 	until = e.At.Add(refuseFor)
-	return until, ok && e.Ends >= EndsToRefuse && now.Before(until)
+	return until, ok && e.Crashes >= CrashesToRefuse && now.Before(until)
 }
--- a/core/crashes/list_test.go
+++ b/core/crashes/list_test.go
@@ -14,7 +14,7 @@
 )
 
 func entry(name string, ends int, at time.Time) crashes.Entry {
-	return crashes.Entry{Content: content(name), Ends: ends, At: at}
+	return crashes.Entry{Content: content(name), Crashes: ends, At: at}
 }
 
 // TestRefusalEndsAndBeginsAgain follows a request that is refused, let through after ten
@@ -56,7 +56,7 @@
 		l = l.With(start, entry(fmt.Sprint("watched ", i), 2, start.Add(time.Duration(i)*time.Millisecond)))
 	}
 	require.Equal(t, 128, l.Len())
-	require.Equal(t, 100, l.Settled().Len())
+	require.Equal(t, 100, l.Decided().Len())
 }
 
 // TestListsJoinInAnyOrder has hosts send their lists to each other in any order, as often as
--- a/core/crashes/observer.go
+++ b/core/crashes/observer.go
@@ -34,12 +34,12 @@
 // one worker apart.
 type Suspect struct {
 	Content Content
-	Life    uint64
+	Boot    uint64
 	Crash   Crash
 }
 
 func (s Suspect) isAt(worker ident.Target, life uint64) bool {
-	return s.Crash.Worker == worker && s.Life == life
+	return s.Crash.Worker == worker && s.Boot == life
 }
 
 // Observer is what one host sees of ends of workers. It is immutable; the zero value has
@@ -53,9 +53,9 @@
 // Reports are the crashes seen lately.
 func (o Observer) Reports() Reports { return o.reports }
 
-// Asked tells whether an attempt broke off at a worker's process a moment ago, so that proof
+// ProbeRequested tells whether an attempt broke off at a worker's process a moment ago, so that proof
 // has been asked for.
-func (o Observer) Asked(worker ident.Target, life uint64, now time.Time) bool {
+func (o Observer) ProbeRequested(worker ident.Target, life uint64, now time.Time) bool {
 	return slices.ContainsFunc(o.suspects, func(s Suspect) bool {
 		return s.isAt(worker, life) && now.Sub(s.Crash.EndedAt) < askInterval
 	})
@@ -71,9 +71,9 @@
 
 func (s Suspect) over(now time.Time) bool { return now.Sub(s.Crash.EndedAt) > suspectLifetime }
 
-// WithEnd takes the proof that a worker's process ended: the attempts that broke off there
+// WithProcessExit takes the proof that a worker's process ended: the attempts that broke off there
 // were in progress then. It also returns how many there were.
-func (o Observer) WithEnd(worker ident.Target, life uint64, now time.Time) (Observer, int) {
+func (o Observer) WithProcessExit(worker ident.Target, life uint64, now time.Time) (Observer, int) {
 	n := 0
 	var left []Suspect
 	for _, s := range o.suspects {
@@ -89,9 +89,9 @@
 	return o, n
 }
 
-// WithLife takes the proof that a worker's process went on until a time: what broke off there
+// WithProcessAlive takes the proof that a worker's process went on until a time: what broke off there
 // before did so for another reason.
-func (o Observer) WithLife(worker ident.Target, life uint64, until time.Time) Observer {
+func (o Observer) WithProcessAlive(worker ident.Target, life uint64, until time.Time) Observer {
 	if len(o.suspects) == 0 {
 		return o
 	}
@@ -117,8 +117,8 @@
 type Reports struct {
 	// bySeen holds them in the order in which they came, by their number.
 	bySeen table.Table[uint64, Report]
-	// Seen counts all that ever came.
-	Seen uint64
+	// Total counts all that ever came.
+	Total uint64
 }
 
 // With adds a report, and forgets those that are reported no more.
@@ -133,13 +133,13 @@
 			r.bySeen = r.bySeen.Without(n)
 		}
 	}
-	r.Seen++
-	r.bySeen = r.bySeen.With(r.Seen, one)
+	r.Total++
+	r.bySeen = r.bySeen.With(r.Total, one)
 	return r
 }
 
-// Lately are those to be reported now.
-func (r Reports) Lately(now time.Time) []Report {
+// Recent are those to be reported now.
+func (r Reports) Recent(now time.Time) []Report {
 	var out []Report
 	for _, one := range r.bySeen.All() {
 		if now.Sub(one.SeenAt) <= reportLifetime {
--- a/core/crashes/observer_test.go
+++ b/core/crashes/observer_test.go
@@ -16,28 +16,28 @@
 // worker: each end and each sign of life is of one process.
 func TestSuspectsWaitForProof(t *testing.T) {
 	suspect := func(name, worker string, life uint64) crashes.Suspect {
-		return crashes.Suspect{Content: content(name), Life: life, Crash: crash(worker, 1, 0.5)}
+		return crashes.Suspect{Content: content(name), Boot: life, Crash: crash(worker, 1, 0.5)}
 	}
 	now := start.Add(time.Second)
 	var o crashes.Observer
 	for _, s := range []crashes.Suspect{suspect("a", "w1", 0), suspect("b", "w1", 0), suspect("c", "w1", 1), suspect("d", "w2", 0)} {
 		o = o.WithSuspect(s, now)
 	}
-	require.True(t, o.Asked("w1", 1, now))
-	require.False(t, o.Asked("w1", 1, now.Add(time.Second)), "another one that breaks off asks anew")
-	require.False(t, o.Asked("w2", 1, now))
-	o = o.WithLife("w1", 1, now)
-	require.True(t, o.Asked("w1", 1, now), "it lived until then")
-	o = o.WithLife("w1", 1, now.Add(time.Millisecond))
-	require.False(t, o.Asked("w1", 1, now))
-	o, n := o.WithEnd("w1", 0, now)
+	require.True(t, o.ProbeRequested("w1", 1, now))
+	require.False(t, o.ProbeRequested("w1", 1, now.Add(time.Second)), "another one that breaks off asks anew")
+	require.False(t, o.ProbeRequested("w2", 1, now))
+	o = o.WithProcessAlive("w1", 1, now)
+	require.True(t, o.ProbeRequested("w1", 1, now), "it lived until then")
+	o = o.WithProcessAlive("w1", 1, now.Add(time.Millisecond))
+	require.False(t, o.ProbeRequested("w1", 1, now))
+	o, n := o.WithProcessExit("w1", 0, now)
 	require.Equal(t, 2, n)
-	require.Len(t, o.Reports().Lately(now), 2)
-	o, n = o.WithEnd("w1", 0, now)
+	require.Len(t, o.Reports().Recent(now), 2)
+	o, n = o.WithProcessExit("w1", 0, now)
 	require.Zero(t, n)
-	o, n = o.WithEnd("w2", 0, now.Add(time.Minute))
+	o, n = o.WithProcessExit("w2", 0, now.Add(time.Minute))
 	require.Zero(t, n, "the proof came too late")
-	require.Empty(t, o.Reports().Lately(now.Add(time.Minute)))
+	require.Empty(t, o.Reports().Recent(now.Add(time.Minute)))
 }
 
 // TestObserverIsBounded breaks off and reports more than is kept.
@@ -46,13 +46,13 @@
 	for i := range 1000 {
 		o = o.WithSuspect(crashes.Suspect{Content: content(fmt.Sprint(i)), Crash: crash("w", 0, 0)}, start)
 	}
-	o, n := o.WithEnd("w", 0, start)
+	o, n := o.WithProcessExit("w", 0, start)
 	require.Equal(t, 256, n)
 	r := o.Reports()
 	for i := range 1000 {
 		r = r.With(crashes.Report{Content: content(fmt.Sprint("more ", i)), SeenAt: start}, start)
 	}
-	require.LessOrEqual(t, len(r.Lately(start)), 256)
-	require.Equal(t, r.Seen, r.With(r.Lately(start)[3], start).Seen, "the same again")
-	require.Empty(t, r.Lately(start.Add(time.Minute)))
+	require.LessOrEqual(t, len(r.Recent(start)), 256)
+	require.Equal(t, r.Total, r.With(r.Recent(start)[3], start).Total, "the same again")
+	require.Empty(t, r.Recent(start.Add(time.Minute)))
 }
--- a/core/health/health.go
+++ b/core/health/health.go
@@ -91,27 +91,27 @@
 	return true
 }
 
-// Lost tells whether the target failed for so long that it is taken for gone.
-func (t Target) Lost(now time.Time) bool {
+// PresumedDead tells whether the target failed for so long that it is taken for gone.
+func (t Target) PresumedDead(now time.Time) bool {
 	return t.Failures >= maxFailures && now.Sub(t.FailingSince) >= lostAfter
 }
 
-// Answers tells whether the target's last sign of life is good and recent.
-func (t Target) Answers(now time.Time) bool {
+// IsResponding tells whether the target's last sign of life is good and recent.
+func (t Target) IsResponding(now time.Time) bool {
 	return t.Failures == 0 && !t.LastGood.IsZero() && now.Sub(t.LastGood) < goodAnswerLifetime
 }
 
 // IsLeaving tells whether the target or the platform says that it is stopping.
 func (t Target) IsLeaving(now time.Time) bool {
-	return t.Listing == Leaving || t.SaysLeaving(now) || now.Before(t.LeavingReportedUntil)
+	return t.Listing == Leaving || t.ReportsLeaving(now) || now.Before(t.LeavingReportedUntil)
 }
 
-// SaysLeaving tells whether the target itself reported to this host that it is leaving.
-func (t Target) SaysLeaving(now time.Time) bool { return now.Before(t.LeavingUntil) }
+// ReportsLeaving tells whether the target itself reported to this host that it is leaving.
+func (t Target) ReportsLeaving(now time.Time) bool { return now.Before(t.LeavingUntil) }
 
-// BackoffLeft is what is left of the target's backoff. It concerns this host alone, so that it does
+// RemainingBackoff is what is left of the target's backoff. It concerns this host alone, so that it does
 // not make the target unusable.
-func (t Target) BackoffLeft(now time.Time) time.Duration { return max(0, t.BackoffUntil.Sub(now)) }
+func (t Target) RemainingBackoff(now time.Time) time.Duration { return max(0, t.BackoffUntil.Sub(now)) }
 
 // WithBackoff records that the target requested a backoff.
 func (t Target) WithBackoff(d time.Duration, now time.Time) Target {
@@ -166,8 +166,8 @@
 	return t
 }
 
-// WithReportedLeaving records another host's report that the target is leaving.
-func (t Target) WithReportedLeaving(now time.Time) Target {
+// WithLeavingFromPeer records another host's report that the target is leaving.
+func (t Target) WithLeavingFromPeer(now time.Time) Target {
 	t.LeavingReportedUntil = now.Add(reportedLeavingLifetime)
 	return t
 }
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -33,9 +33,9 @@
 	h, ok = h.WithReport(1, 6, false, now)
 	require.True(t, ok)
 	require.True(t, h.Usable(now))
-	heard := h.WithReportedLeaving(now)
+	heard := h.WithLeavingFromPeer(now)
 	require.False(t, heard.Usable(now))
-	require.False(t, heard.SaysLeaving(now), "what was heard is not passed on")
+	require.False(t, heard.ReportsLeaving(now), "what was heard is not passed on")
 	require.True(t, heard.Usable(now.Add(time.Minute)))
 	restarted, ok := heard.WithReport(2, 1, false, now)
 	require.True(t, ok, "a new start counts from one again")
@@ -56,7 +56,7 @@
 	}
 	require.False(t, h.Usable(now.Add(29*time.Second)))
 	require.True(t, h.Usable(now.Add(31*time.Second)))
-	require.False(t, h.Lost(now.Add(30*time.Second)))
-	require.True(t, h.Lost(now.Add(2*time.Minute)))
-	require.False(t, h.WithResult(true, now).Lost(now.Add(2*time.Minute)))
+	require.False(t, h.PresumedDead(now.Add(30*time.Second)))
+	require.True(t, h.PresumedDead(now.Add(2*time.Minute)))
+	require.False(t, h.WithResult(true, now).PresumedDead(now.Add(2*time.Minute)))
 }
--- a/core/host/backoff.go
+++ b/core/host/backoff.go
@@ -21,7 +21,7 @@
 // canUse tells whether this host may send new work to a target.
 func (t *transition) canUse(id ident.Target) bool {
 	h, _ := t.health.Get(id)
-	return h.Usable(t.now) && h.BackoffLeft(t.now) == 0
+	return h.Usable(t.now) && h.RemainingBackoff(t.now) == 0
 }
 
 // excluded are the targets that the call's permit must not be for: those that it has tried, and
@@ -29,7 +29,7 @@
 func (t *transition) excluded(c call) []ident.Target {
 	out := slices.Clone(c.tried)
 	for _, target := range t.targetsOf(c) {
-		if h, _ := t.health.Get(target.ID); h.BackoffLeft(t.now) > 0 {
+		if h, _ := t.health.Get(target.ID); h.RemainingBackoff(t.now) > 0 {
 			out = append(out, target.ID)
 		}
 	}
@@ -56,7 +56,7 @@
 		if !h.Usable(t.now) {
 			continue
 		}
-		left := h.BackoffLeft(t.now)
+		left := h.RemainingBackoff(t.now)
 		if left == 0 {
 			return 0
 		}
--- a/core/host/capacity_test.go
+++ b/core/host/capacity_test.go
@@ -89,10 +89,10 @@
 	return float64(b.Len() - first)
 }
 
-func specs(n int) []routing.Spec {
-	out := make([]routing.Spec, 0, n)
+func specs(n int) []routing.TargetSpec {
+	out := make([]routing.TargetSpec, 0, n)
 	for i := range n {
-		out = append(out, routing.Spec{ID: ident.Target(fmt.Sprintf("e%03d", i)), Slots: 64, Models: []ident.Model{model}, Usable: true})
+		out = append(out, routing.TargetSpec{ID: ident.Target(fmt.Sprintf("e%03d", i)), Slots: 64, Models: []ident.Model{model}, Usable: true})
 	}
 	return out
 }
@@ -110,11 +110,11 @@
 
 func slopes() []slope {
 	now := time.Unix(1_000_000, 0)
-	bound := routing.Bound{Multiple: 1.5}
+	bound := routing.LoadBound{LoadFactor: 1.5}
 	return []slope{
 		measureSlope("chat remembered by an owner", "heap bytes", []int{8000, 16000, 32000}, func(n int) float64 {
 			return heapOf(func() any {
-				d := routing.Directory{Bound: 4 * n}
+				d := routing.Directory{MaxChats: 4 * n}
 				for i := range n {
 					d = d.With(hash.Of(fmt.Sprint(i)), routing.ChatLocation{Target: "e001"})
 				}
@@ -141,11 +141,11 @@
 			return float64(len(claims(n).Encode()))
 		}),
 		measureSlope("engine in a group, per ask and release", "ns", []int{8, 16, 24}, func(n int) float64 {
-			g := routing.NewGroup(routing.GroupID{Service: service, Zone: "z0"}, now).WithEngines(specs(n), now)
+			g := routing.NewGroup(routing.GroupID{Service: service, Zone: "z0"}, now).WithTargets(specs(n), now)
 			return nanos(func(b *testing.B) {
 				for i := 0; b.Loop(); i++ {
 					ask := askOf(i%1000, now)
-					g, _ = g.Request(ask, bound, now)
+					g, _ = g.RequestPermit(ask, bound, now)
 					g, _ = g.Release(ask.Permit, bound, now)
 				}
 			})
--- a/core/host/claim_test.go
+++ b/core/host/claim_test.go
@@ -121,7 +121,7 @@
 	require.NotEqual(t, first.Target.ID, second.Target.ID)
 	r.feed(host.AttemptEnded{Request: "r1", Attempt: 1, Result: outcome.Answered{}})
 	require.Empty(t, r.out, "a late result of the first try")
-	r.feed(host.AttemptEnded{Request: "r1", Attempt: 2, Result: outcome.Broken{Reason: "cut"}})
+	r.feed(host.AttemptEnded{Request: "r1", Attempt: 2, Result: outcome.Interrupted{Reason: "cut"}})
 	require.Equal(t, outcome.Unknown, r.verdict().Outcome)
 	require.Equal(t, outcome.Unknown, r.ended())
 }
--- a/core/host/crashes.go
+++ b/core/host/crashes.go
@@ -57,7 +57,7 @@
 	// kept names what a replica has put on disk.
 	kept hash.Key
 	// answered are the requests that a host of a listed fleet had answered lately.
-	answered crashes.Answers
+	answered crashes.RecentAnswers
 	// answers are when requests that are watched were answered, to be reported to those who
 	// judge until reportedUntil; reportDue is set while one was not reported yet.
 	answers       table.Table[crashes.Content, time.Time]
@@ -69,7 +69,7 @@
 
 // crashesSeen counts the crashes to be reported.
 func (t *transition) crashesSeen() uint64 {
-	return t.requests.Crashes().Seen + t.crashes.clients.Seen + t.crashes.observer.Reports().Seen
+	return t.requests.Crashes().Total + t.crashes.clients.Total + t.crashes.observer.Reports().Total
 }
 
 // crashReportDue tells whether this host polls early, as it has seen a worker end.
@@ -97,9 +97,9 @@
 	for _, e := range t.requests.CrashList().Entries() {
 		at, ok := t.requests.AnsweredAt(e.Content, t.now)
 		if !ok {
-			at, ok = t.crashes.answered.At(e.Content, t.now)
+			at, ok = t.crashes.answered.LastAnswered(e.Content, t.now)
 		}
-		if ok && e.Ends > 0 {
+		if ok && e.Crashes > 0 {
 			t.reportAnswer(e.Content, at)
 		}
 	}
@@ -121,14 +121,14 @@
 // crashReport are the crashes seen lately, here or at the clients of this hub.
 func (t *transition) crashReport() []CrashReport {
 	t.crashes.reported = t.crashesSeen()
-	all := t.requests.Crashes().Lately(t.now)
-	all = append(all, t.crashes.clients.Lately(t.now)...)
-	all = append(all, t.crashes.observer.Reports().Lately(t.now)...)
+	all := t.requests.Crashes().Recent(t.now)
+	all = append(all, t.crashes.clients.Recent(t.now)...)
+	all = append(all, t.crashes.observer.Reports().Recent(t.now)...)
 	out := make([]CrashReport, 0, len(all))
 	for _, r := range all {
 		out = append(out, CrashReport{
 			Content: r.Content, Attempt: r.Crash.Attempt, Worker: r.Crash.Worker, Ran: r.Crash.EndedAt.Sub(r.Crash.SentAt),
-			Age: t.now.Sub(r.Crash.EndedAt), Begun: r.Crash.Begun,
+			Age: t.now.Sub(r.Crash.EndedAt), Begun: r.Crash.AnswerStarted,
 		})
 	}
 	return out
@@ -143,14 +143,14 @@
 	for _, r := range reports {
 		ended := t.now.Add(-max(0, r.Age))
 		c := crashes.Crash{
-			Attempt: r.Attempt, Worker: r.Worker, SentAt: ended.Add(-max(0, r.Ran)), EndedAt: ended, Begun: r.Begun,
+			Attempt: r.Attempt, Worker: r.Worker, SentAt: ended.Add(-max(0, r.Ran)), EndedAt: ended, AnswerStarted: r.Begun,
 		}
 		if !t.judgesCrashes() {
 			report := crashes.Report{Content: r.Content, Crash: c, SeenAt: t.now}
 			t.crashes.clients = t.crashes.clients.With(report, t.now)
 			continue
 		}
-		if e, ok := t.requests.CrashList().Get(r.Content); ok && e.Ends == 0 && !c.EndedAt.After(e.At) {
+		if e, ok := t.requests.CrashList().Get(r.Content); ok && e.Crashes == 0 && !c.EndedAt.After(e.At) {
 			continue
 		}
 		t.crashes.evidence = t.crashes.evidence.With(r.Content, c, t.now)
@@ -163,7 +163,7 @@
 // judgeCrashes takes what the evidence says. A request with enough ends has been watched for a
 // moment first, in which hosts report whether it was answered meanwhile.
 func (t *transition) judgeCrashes(from ident.Host) {
-	judged := t.crashes.evidence.Judged(t.now)
+	judged := t.crashes.evidence.Evaluate(t.now)
 	pending := table.Table[crashes.Content, time.Time]{}
 	for i, e := range judged {
 		at, known := t.crashes.judgedAt.Get(e.Content)
@@ -171,8 +171,8 @@
 			at = t.now
 		}
 		pending = pending.With(e.Content, at)
-		if t.now.Sub(at) < crashes.AnswersWithin {
-			judged[i] = e.Watched()
+		if t.now.Sub(at) < crashes.AnswerReportWindow {
+			judged[i] = e.AsWatched()
 		}
 	}
 	t.crashes.judgedAt = pending
@@ -182,7 +182,7 @@
 // tickCrashes judges again once hosts had the time to report answers of what is watched.
 func (t *transition) tickCrashes() {
 	for _, at := range t.crashes.judgedAt.All() {
-		if waited := t.now.Sub(at); waited >= crashes.AnswersWithin && waited < crashes.AnswersWithin+judgeAgainFor {
+		if waited := t.now.Sub(at); waited >= crashes.AnswerReportWindow && waited < crashes.AnswerReportWindow+judgeAgainFor {
 			t.judgeCrashes(t.settings.ID)
 			return
 		}
@@ -200,8 +200,8 @@
 	}
 	taken := make([]crashes.Entry, 0, len(entries))
 	for _, e := range entries {
-		one := crashes.Entry{Content: e.Content, Ends: max(0, e.Ends), At: t.now.Add(-max(0, e.Age))}
-		if one.Ends == 0 {
+		one := crashes.Entry{Content: e.Content, Crashes: max(0, e.Ends), At: t.now.Add(-max(0, e.Age))}
+		if one.Crashes == 0 {
 			t.answerReported(one)
 		}
 		taken = append(taken, one)
@@ -212,7 +212,7 @@
 // answerReported takes that a request was answered, as another host reports; a hub passes it
 // on.
 func (t *transition) answerReported(e crashes.Entry) {
-	t.crashes.evidence = t.crashes.evidence.Without(e.Content, e.At)
+	t.crashes.evidence = t.crashes.evidence.WithAnswer(e.Content, e.At)
 	if !t.judgesCrashes() && t.now.Sub(e.At) <= answersReported {
 		t.reportAnswer(e.Content, e.At)
 	}
@@ -228,9 +228,9 @@
 	}
 	for _, e := range entries {
 		was, _ := before.Get(e.Content)
-		if is, _ := after.Get(e.Content); is.Ends != was.Ends {
+		if is, _ := after.Get(e.Content); is.Crashes != was.Crashes {
 			t.note(NoteCrashes, is.Content.String(), fmt.Sprintf("ends=%d before=%d last_ms=%d refused=%t by=%s",
-				is.Ends, was.Ends, t.now.Sub(is.At).Milliseconds(), is.Ends >= crashes.EndsToRefuse, from))
+				is.Crashes, was.Crashes, t.now.Sub(is.At).Milliseconds(), is.Crashes >= crashes.CrashesToRefuse, from))
 		}
 	}
 	t.noteAnswers()
@@ -239,7 +239,7 @@
 
 // keepCrashes puts on a replica's disk which requests are refused, and which no more.
 func (t *transition) keepCrashes(l crashes.List) {
-	kept := l.Settled()
+	kept := l.Decided()
 	if !t.settings.IsReplica() || kept.Key == t.crashes.kept {
 		return
 	}
@@ -251,7 +251,7 @@
 func (t *transition) crashEntries(l crashes.List) []CrashEntry {
 	out := make([]CrashEntry, 0, l.Len())
 	for _, e := range l.Entries() {
-		out = append(out, CrashEntry{Content: e.Content, Ends: e.Ends, Age: t.now.Sub(e.At)})
+		out = append(out, CrashEntry{Content: e.Content, Ends: e.Crashes, Age: t.now.Sub(e.At)})
 	}
 	return out
 }
@@ -271,13 +271,13 @@
 		return
 	}
 	t.requests = t.requests.WithCrashList(t.requests.CrashList().With(t.now))
-	t.crashes.evidence = t.crashes.evidence.Forget(t.now)
+	t.crashes.evidence = t.crashes.evidence.Expire(t.now)
 }
 
 // WithCrashes returns the process with the list of crashes read from disk.
 func (s State) WithCrashes(entries []CrashEntry, now time.Time) State {
 	t := transition{State: s, now: now}
 	t.takeCrashEntries(s.settings.ID, entries)
-	t.crashes.kept = t.requests.CrashList().Settled().Key
+	t.crashes.kept = t.requests.CrashList().Decided().Key
 	return t.State
 }
--- a/core/host/crashfleet_test.go
+++ b/core/host/crashfleet_test.go
@@ -167,7 +167,7 @@
 		}
 	}
 	for _, d := range lost {
-		f.ended(d, outcome.Broken{Reason: "unexpected EOF"})
+		f.ended(d, outcome.Interrupted{Reason: "unexpected EOF"})
 		if !isBad(d.path) {
 			f.again = append(f.again, d.path)
 		}
@@ -227,10 +227,10 @@
 // endedWhileAway ends an attempt at a worker that is away.
 func (f *crashFleet) endedWhileAway(d dispatched) {
 	if f.proofsLate {
-		f.ended(d, outcome.Broken{Reason: "connection closed"})
+		f.ended(d, outcome.Interrupted{Reason: "connection closed"})
 		return
 	}
-	f.ended(d, outcome.NeverSent{Reason: "connection refused", Refused: true})
+	f.ended(d, outcome.NeverSent{Reason: "connection refused", ConnectRefused: true})
 }
 
 // arrive sends a request to an entry host.
--- a/core/host/fallback.go
+++ b/core/host/fallback.go
@@ -72,7 +72,7 @@
 // fallbackPeersToPoll are the entry hosts to poll now; none while confirmations come.
 func (t *transition) fallbackPeersToPoll() []ident.Host {
 	confirmed := t.requests.Confirmed()
-	if confirmed.Never() || confirmed.Age(t.now) < fallbackAfter || t.pollsHubs() {
+	if confirmed.IsZero() || confirmed.Age(t.now) < fallbackAfter || t.pollsHubs() {
 		return nil
 	}
 	list := t.seeded.fallback.list
--- a/core/host/hub.go
+++ b/core/host/hub.go
@@ -31,10 +31,10 @@
 // never changed in place.
 type hubState struct {
 	// list are the hubs in force; on a replica they are those that it names.
-	list hubs.Naming
+	list hubs.Selection
 	// choice are the hubs that this host polls, pollReplicasAt when replicas are next
 	// polled because none of them gives a useful reply.
-	choice         hubs.Choice
+	choice         hubs.PollSet
 	pollReplicasAt time.Time
 	// serves is set for good once this host was named a hub: from then on it keeps
 	// registrations and replies to polls.
@@ -89,7 +89,7 @@
 func (t *transition) renewHubs() {
 	h := &t.seeded.hub
 	if !t.pollsHubs() {
-		h.choice = h.choice.Without()
+		h.choice = h.choice.Cleared()
 		return
 	}
 	lastUseful := func(id ident.Host) time.Time {
@@ -98,7 +98,7 @@
 	}
 	self := hubs.Self{ID: t.settings.ID, Zone: t.settings.Zone}
 	timeout := max(hubTimeout, leaderTimeoutIntervals*t.pollInterval())
-	h.choice = h.choice.Renewed(h.list.Hosts, self, lastUseful, timeout, t.now)
+	h.choice = h.choice.Updated(h.list.Hosts, self, lastUseful, timeout, t.now)
 }
 
 // deregisterElsewhere tells hosts that are polled no more that others count this host now.
@@ -129,7 +129,7 @@
 func (t *transition) hubReply(r PollReply, m Poll) PollReply {
 	r.Leader, r.Hosts, r.Replicas = t.seeded.leaderContact, t.seeded.hosts, t.seeded.replicas
 	r.Cut = !t.replicaRepliedWithin(hubTimeout)
-	if confirmed := t.requests.Confirmed(); !confirmed.Never() {
+	if confirmed := t.requests.Confirmed(); !confirmed.IsZero() {
 		r.Age = confirmed.Age(t.now)
 		r.Fresh = r.Age < replicaTimeout
 	}
--- a/core/host/hublist.go
+++ b/core/host/hublist.go
@@ -29,13 +29,13 @@
 			found[c.host.Host] = c.host
 		}
 	}
-	return slices.SortedFunc(maps.Values(found), func(a, b hubs.Host) int { return hubs.First(a.Host < b.Host) })
+	return slices.SortedFunc(maps.Values(found), func(a, b hubs.Host) int { return hubs.SortOrder(a.Host < b.Host) })
 }
 
 // hubsAbove is the number of entry hosts above which hubs are named.
 func (t *transition) hubsAbove() int {
 	if t.settings.HubsAbove == 0 {
-		return hubs.DefaultAbove
+		return hubs.DefaultThreshold
 	}
 	return t.settings.HubsAbove
 }
@@ -44,7 +44,7 @@
 // hosts.
 func (t *transition) nameHubs(hosts []hubs.Host) {
 	if t.now.Sub(t.started) >= hubWarmUp {
-		t.seeded.hub.list = t.seeded.hub.list.Renewed(hosts, t.hubsAbove(), t.now)
+		t.seeded.hub.list = t.seeded.hub.list.Updated(hosts, t.hubsAbove(), t.now)
 	}
 }
 
@@ -65,7 +65,7 @@
 		return
 	}
 	if h.list.Len() == 0 {
-		h.choice = h.choice.WithUseful(t.now)
+		h.choice = h.choice.WithUsefulReply(t.now)
 	}
 	h.list.List = hubs.List{Hosts: m.Hubs, Key: m.HubList}
 	if h.list.Has(t.settings.ID) && !h.serves {
--- a/core/host/inforce.go
+++ b/core/host/inforce.go
@@ -20,24 +20,24 @@
 const leaseWarmUp = maxPollInterval + minPollInterval
 
 func (t *transition) inForceSettings() inforce.Settings {
-	return inforce.Settings{KeyLease: t.requests.KeyLease(), Within: t.settings.InForce, WarmUp: leaseWarmUp}
+	return inforce.Settings{KeyLease: t.requests.KeyLease(), InForceWithin: t.settings.InForce, WarmUp: leaseWarmUp}
 }
 
-func (t *transition) inForceView() inforce.View {
-	return inforce.View{Self: t.settings.ID, Started: t.started, LeaderSince: t.leaderSince}
+func (t *transition) inForceView() inforce.HostInfo {
+	return inforce.HostInfo{Self: t.settings.ID, Started: t.started, LeaderSince: t.leaderSince}
 }
 
 // grantLease remembers what a host reports in a poll of tables in force there, and that the
 // reply confirms the version held here.
 func (t *transition) grantLease(from ident.Host, m Poll) {
 	t.seeded.inForce = t.seeded.inForce.WithGrant(inforce.Grant{
-		From: from, Boot: m.Boot, InForce: m.InForce, Sent: t.heldConfig().Version,
+		From: from, Boot: m.Boot, OldestInForce: m.InForce, SentVersion: t.heldConfig().Version,
 	}, t.now)
 }
 
 func (t *transition) forgetLeases() {
-	t.seeded.inForce = t.seeded.inForce.WithoutEnded(t.inForceSettings(), t.now)
-	t.seeded.zonesInForce = t.seeded.zonesInForce.WithoutEnded(t.inForceSettings(), t.now)
+	t.seeded.inForce = t.seeded.inForce.WithoutExpired(t.inForceSettings(), t.now)
+	t.seeded.zonesInForce = t.seeded.zonesInForce.WithoutExpired(t.inForceSettings(), t.now)
 }
 
 // inForceReportDue tells whether this host polls early, as a leader may wait for its news.
@@ -47,18 +47,18 @@
 
 // inForceReport is the oldest table in force, as reported in polls now.
 func (t *transition) inForceReport() config.Version {
-	next, oldest := t.seeded.inForce.WithReport(t.config.Version, t.inForceSettings(), t.now)
+	next, oldest := t.seeded.inForce.TakeReport(t.config.Version, t.inForceSettings(), t.now)
 	t.seeded.inForce = next
 	return oldest
 }
 
 // holdAnswer keeps the answer to a write until its table, or the drained zones, are in
 // force; only a leader knows when that is.
-func (t *transition) holdAnswer(a inforce.Answer, ofZones bool) {
+func (t *transition) holdAnswer(a inforce.PendingWrite, ofZones bool) {
 	if ofZones {
-		t.seeded.zonesInForce = t.seeded.zonesInForce.WithAnswer(a, t.now)
+		t.seeded.zonesInForce = t.seeded.zonesInForce.WithPendingWrite(a, t.now)
 	} else {
-		t.seeded.inForce = t.seeded.inForce.WithAnswer(a, t.now)
+		t.seeded.inForce = t.seeded.inForce.WithPendingWrite(a, t.now)
 	}
 	t.releaseAnswers()
 }
@@ -76,12 +76,12 @@
 
 // released sends the answers of one kind that need not wait any more.
 func (t *transition) released(s inforce.State, set inforce.Settings, kind NoteKind) inforce.State {
-	if s.Waiting() == 0 {
+	if s.PendingWrites() == 0 {
 		return s
 	}
-	next, released := s.Release(set, t.inForceView(), t.now)
+	next, released := s.ReleaseWrites(set, t.inForceView(), t.now)
 	for _, a := range released {
-		t.note(kind, a.ID, fmt.Sprintf("version=%d after=%s waited_for=%s", a.Version, a.After, a.WaitedFor))
+		t.note(kind, a.ID, fmt.Sprintf("version=%d after=%s waited_for=%s", a.Version, a.Delay, a.BlockedBy))
 		if a.To == t.settings.ID {
 			t.writeAnswered(a.ID, a.Result)
 			continue
@@ -99,10 +99,10 @@
 		return
 	}
 	if m.Zones > 0 {
-		t.holdAnswer(inforce.Answer{ID: m.ID, To: from, Version: m.Zones, Result: t.acknowledged()}, true)
+		t.holdAnswer(inforce.PendingWrite{ID: m.ID, To: from, Version: m.Zones, Result: t.acknowledged()}, true)
 		return
 	}
-	t.holdAnswer(inforce.Answer{ID: m.ID, To: from, Version: m.Version, Result: t.acknowledged()}, false)
+	t.holdAnswer(inforce.PendingWrite{ID: m.ID, To: from, Version: m.Version, Result: t.acknowledged()}, false)
 }
 
 // awaitInForce waits for what answers a write, which is committed, to be in force: its
@@ -115,7 +115,7 @@
 	p.resend = t.now.Add(resendInterval)
 	t.writes = t.writes.With(p.write.ID, p)
 	if t.raft.Role() == raft.Leader {
-		t.holdAnswer(inforce.Answer{ID: p.write.ID, To: t.settings.ID, Version: p.inForce, Result: t.acknowledged()}, ofZones)
+		t.holdAnswer(inforce.PendingWrite{ID: p.write.ID, To: t.settings.ID, Version: p.inForce, Result: t.acknowledged()}, ofZones)
 		return
 	}
 	m := AwaitInForce{ID: p.write.ID, Version: p.inForce}
--- a/core/host/layout.go
+++ b/core/host/layout.go
@@ -107,7 +107,7 @@
 
 func (t *transition) ownerMoved(p groupPart, owner ident.Host) {
 	if owner == t.settings.ID {
-		g := routing.NewGroup(p.id, t.now).WithChatBound(t.settings.Chats)
+		g := routing.NewGroup(p.id, t.now).WithChatLimit(t.settings.Chats)
 		if backup, ok := t.backups.Get(p.id.String()); ok {
 			g = g.WithDirectory(backup)
 			t.backups = t.backups.Without(p.id.String())
--- a/core/host/listedcrashes.go
+++ b/core/host/listedcrashes.go
@@ -46,15 +46,15 @@
 
 // targetBroke suspects an attempt that broke off, and asks its target for a load report,
 // which tells whether the target ended.
-func (t *transition) targetBroke(c call, r outcome.Broken) {
+func (t *transition) targetBroke(c call, r outcome.Interrupted) {
 	h, _ := t.health.Get(c.target)
 	target, known := t.config.Targets.Get(c.target)
-	if c.content == "" || r.Silent || !known || h.IsLeaving(t.now) {
+	if c.content == "" || r.TimedOut || !known || h.IsLeaving(t.now) {
 		return
 	}
-	asked := t.crashes.observer.Asked(c.target, c.boot, t.now)
-	t.crashes.observer = t.crashes.observer.WithSuspect(crashes.Suspect{Content: c.content, Life: c.boot, Crash: crashes.Crash{
-		Attempt: fmt.Sprintf("%s/%d", c.req.ID, c.attempt), Worker: c.target, SentAt: c.sentAt, EndedAt: t.now, Begun: r.Begun,
+	asked := t.crashes.observer.ProbeRequested(c.target, c.boot, t.now)
+	t.crashes.observer = t.crashes.observer.WithSuspect(crashes.Suspect{Content: c.content, Boot: c.boot, Crash: crashes.Crash{
+		Attempt: fmt.Sprintf("%s/%d", c.req.ID, c.attempt), Worker: c.target, SentAt: c.sentAt, EndedAt: t.now, AnswerStarted: r.AnswerStarted,
 	}}, t.now)
 	if !asked {
 		t.emit(Probe{Target: target})
@@ -72,13 +72,13 @@
 	case ev.Boot > h.Boot:
 		t.targetEnded(ev.Target, h.Boot)
 	default:
-		t.crashes.observer = t.crashes.observer.WithLife(ev.Target, h.Boot, t.now)
+		t.crashes.observer = t.crashes.observer.WithProcessAlive(ev.Target, h.Boot, t.now)
 	}
 }
 
 // targetEnded takes the proof that a target's process ended.
 func (t *transition) targetEnded(id ident.Target, boot uint64) {
-	t.crashes.observer, _ = t.crashes.observer.WithEnd(id, boot, t.now)
+	t.crashes.observer, _ = t.crashes.observer.WithProcessExit(id, boot, t.now)
 }
 
 // crashHeartbeatDue tells whether a heartbeat is sent early, as a target has ended.
--- a/core/host/listedcrashes_test.go
+++ b/core/host/listedcrashes_test.go
@@ -121,7 +121,7 @@
 func (f *listedFleet) dispatch(at ident.Host, d host.Dispatch) {
 	one := f.targets[d.Target.ID]
 	if !one.backAt.IsZero() {
-		f.reduce(at, host.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: outcome.NeverSent{Reason: "refused", Refused: true}})
+		f.reduce(at, host.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: outcome.NeverSent{Reason: "refused", ConnectRefused: true}})
 		return
 	}
 	if f.decline != nil {
@@ -176,7 +176,7 @@
 		var result outcome.Attempt = outcome.Answered{Status: 200}
 		switch {
 		case due >= 0:
-			result = outcome.Broken{Reason: "unexpected EOF"}
+			result = outcome.Interrupted{Reason: "unexpected EOF"}
 		case f.now.Before(a.due):
 			one.running = append(one.running, a)
 			continue
--- a/core/host/loadsums.go
+++ b/core/host/loadsums.go
@@ -34,7 +34,7 @@
 
 // others are the loads of all hosts but one, and of those outside the sum.
 func (s loadSums) others(but ident.Host, outside loads.Digest) loads.Digest {
-	rest := s.total.Without(s.parts[but])
+	rest := s.total.Subtract(s.parts[but])
 	if len(outside) == 0 {
 		return rest
 	}
--- a/core/host/membership.go
+++ b/core/host/membership.go
@@ -11,12 +11,12 @@
 // tickMembers asks to be taken in, and changes the member list, where package membership
 // decides so.
 func (t *transition) tickMembers() {
-	next, due := t.seeded.membership.RequestDue(t.raft, t.started, t.now)
+	next, due := t.seeded.membership.JoinRequestDue(t.raft, t.started, t.now)
 	t.seeded.membership = next
 	if due {
 		t.requestJoin()
 	}
-	next, change, ok := t.seeded.membership.Next(t.raft, t.settings.replicaID(), t.settings.Voters, t.now)
+	next, change, ok := t.seeded.membership.NextChange(t.raft, t.settings.replicaID(), t.settings.Voters, t.now)
 	t.seeded.membership = next
 	if ok {
 		t.note(NoteMembers, string(change.Member.ID), fmt.Sprintf("remove=%t voter=%t", change.Remove, change.Member.Voter))
@@ -36,7 +36,7 @@
 // joinRequested remembers a request, and passes one of the replica itself on to the leader: a
 // replica whose disk was lost knows the seeds alone, and the leader may be none of them.
 func (t *transition) joinRequested(from ident.Host, m Join) {
-	t.seeded.membership = t.seeded.membership.WithRequest(m.Identity, t.now)
+	t.seeded.membership = t.seeded.membership.WithJoinRequest(m.Identity, t.now)
 	leader := t.raft.Leader().Address()
 	if leader != "" && leader != t.settings.ID && from == m.Identity.Address() {
 		t.send(leader, m)
--- a/core/host/owner.go
+++ b/core/host/owner.go
@@ -30,7 +30,7 @@
 		if !ok {
 			continue
 		}
-		g = g.WithEngines(t.specs(p.id, p.targets), t.now)
+		g = g.WithTargets(t.specs(p.id, p.targets), t.now)
 		t.groups = t.groups.With(p.id.String(), g)
 		t.serve(g)
 	}
@@ -64,26 +64,26 @@
 }
 
 // bound is the rule of a service with what other owners report.
-func (t *transition) bound(id routing.GroupID) routing.Bound {
+func (t *transition) bound(id routing.GroupID) routing.LoadBound {
 	s, _ := t.config.Services.Get(id.Service)
-	b := routing.Bound{Multiple: s.Multiple}
+	b := routing.LoadBound{LoadFactor: s.Multiple}
 	for _, l := range t.loads[id.Service] {
 		if l.Group != id {
-			b.Others = append(b.Others, l)
+			b.OtherGroups = append(b.OtherGroups, l)
 		}
 	}
 	for _, g := range t.groups.All() {
 		if g.ID.Service == id.Service && g.ID != id {
-			b.Others = append(b.Others, loadOf(g))
+			b.OtherGroups = append(b.OtherGroups, loadOf(g))
 		}
 	}
 	return b
 }
 
 // boundIfWaiting saves the work where nobody waits for the bound's answer.
-func (t *transition) boundIfWaiting(g routing.Group) routing.Bound {
-	if g.Waiting() == 0 {
-		return routing.Bound{}
+func (t *transition) boundIfWaiting(g routing.Group) routing.LoadBound {
+	if g.QueueLength() == 0 {
+		return routing.LoadBound{}
 	}
 	return t.bound(g.ID)
 }
@@ -103,7 +103,7 @@
 }
 
 func loadOf(g routing.Group) routing.GroupLoad {
-	return routing.GroupLoad{Group: g.ID, Load: g.Total(), Usable: g.Usable(), Waiting: g.Waiting()}
+	return routing.GroupLoad{Group: g.ID, Load: g.TotalLoad(), Usable: g.UsableTargets(), Waiting: g.QueueLength()}
 }
 
 func (t *transition) ownLoads() []routing.GroupLoad {
@@ -111,7 +111,7 @@
 	for _, g := range t.groups.All() {
 		// A new owner does not know its load until routers have reported their permits; a low
 		// number would draw everyone here.
-		if t.now.Sub(g.Taken) >= settleTime {
+		if t.now.Sub(g.OwnedSince) >= settleTime {
 			out = append(out, loadOf(g))
 		}
 	}
@@ -125,7 +125,7 @@
 		return
 	}
 	req := t.permitRequestOf(from, m)
-	g, answer := g.Request(req, t.bound(m.Group), t.now)
+	g, answer := g.RequestPermit(req, t.bound(m.Group), t.now)
 	g, shed := g.TakeShed()
 	t.groups = t.groups.With(m.Group.String(), g)
 	for _, a := range shed {
@@ -181,7 +181,7 @@
 
 func (t *transition) permitReleased(m ReleasePermit) {
 	for key, g := range t.groups.All() {
-		if !g.Holds(m.Place) {
+		if !g.HasRequest(m.Place) {
 			continue
 		}
 		next, grants := g.Release(m.Place, t.boundIfWaiting(g), t.now)
@@ -193,10 +193,10 @@
 
 // serve gives places that became free to waiting requests.
 func (t *transition) serve(g routing.Group) {
-	if g.Waiting() == 0 {
+	if g.QueueLength() == 0 {
 		return
 	}
-	g, grants := g.Serve(t.bound(g.ID), t.now)
+	g, grants := g.ServeQueue(t.bound(g.ID), t.now)
 	t.groups = t.groups.With(g.ID.String(), g)
 	t.sendGrants(grants)
 }
@@ -204,7 +204,7 @@
 func (t *transition) sendGrants(grants []routing.Grant) {
 	for _, grant := range grants {
 		t.countAnswer(grant.Answer())
-		t.replyToRequest(grant.Ask, grant.Answer())
+		t.replyToRequest(grant.Request, grant.Answer())
 	}
 }
 
@@ -231,7 +231,7 @@
 	if owner == "" {
 		return
 	}
-	for chats := range slices.Chunk(g.ChatList(), handOverChunk) {
+	for chats := range slices.Chunk(g.Chats(), handOverChunk) {
 		t.send(owner, AdoptChats{Group: g.ID, Chats: chats})
 	}
 }
@@ -248,7 +248,7 @@
 		return
 	}
 	d, _ := t.backups.Get(key)
-	d.Bound = t.settings.Chats
+	d.MaxChats = t.settings.Chats
 	for _, c := range m.Chats {
 		d = d.With(c.Key, c.Place)
 	}
@@ -259,7 +259,7 @@
 // since the last beat.
 func (t *transition) backUpChats() {
 	for key, g := range t.groups.All() {
-		next, moved := g.TakeMoved()
+		next, moved := g.TakePlacements()
 		t.groups = t.groups.With(key, next)
 		to, ok := t.nextOwner(g.ID)
 		if !ok {
--- a/core/host/peers.go
+++ b/core/host/peers.go
@@ -165,7 +165,7 @@
 func (t *transition) leavingSigns() []ident.Target {
 	var out []ident.Target
 	for id, h := range t.health.All() {
-		if h.SaysLeaving(t.now) {
+		if h.ReportsLeaving(t.now) {
 			out = append(out, id)
 		}
 	}
--- a/core/host/place.go
+++ b/core/host/place.go
@@ -70,7 +70,7 @@
 	owner := t.layout.owners[id]
 	if owner == t.settings.ID {
 		g, ok := t.groups.Get(id.String())
-		return ok && g.Usable() == 0
+		return ok && g.UsableTargets() == 0
 	}
 	for _, l := range t.loads[id.Service] {
 		if l.Group == id {
--- a/core/host/pollreply.go
+++ b/core/host/pollreply.go
@@ -63,7 +63,7 @@
 // takeConfirmation takes a reply that names the newest table, where this host holds it.
 func (t *transition) takeConfirmation(m PollReply, sent time.Time) {
 	if t.config.Version >= m.Version {
-		t.reduceRequests(requests.Confirmed{Confirmation: confirmation.OfReply(sent, m.Age)})
+		t.reduceRequests(requests.Confirmed{Confirmation: confirmation.FromReply(sent, m.Age)})
 	}
 }
 
@@ -155,7 +155,7 @@
 	if !m.Cut {
 		c.lastUsefulReply = t.now
 		if t.seeded.hub.choice.Has(from) {
-			t.seeded.hub.choice = t.seeded.hub.choice.WithUseful(t.now)
+			t.seeded.hub.choice = t.seeded.hub.choice.WithUsefulReply(t.now)
 		}
 	}
 	switch {
--- a/core/host/powerloss_test.go
+++ b/core/host/powerloss_test.go
@@ -25,7 +25,7 @@
 				f := newSeededFleet(t, c.replicas, 4)
 				f.run(20 * time.Second)
 				require.True(t, f.put(f.leader(), f.table(1, "k"), 3*time.Second))
-				bad := host.CrashEntry{Content: crashes.ContentOf("halls", []byte("bad")), Ends: crashes.EndsToRefuse}
+				bad := host.CrashEntry{Content: crashes.ContentOf("halls", []byte("bad")), Ends: crashes.CrashesToRefuse}
 				f.reduce(replicaName(0), host.Received{From: entryName(0), Message: host.Poll{
 					Round: 1, Boot: 1 << 40, CrashEntries: []host.CrashEntry{bad},
 				}})
--- a/core/host/relay.go
+++ b/core/host/relay.go
@@ -29,7 +29,7 @@
 			return
 		}
 		t.registerHeartbeat(w)
-		t.answerHeartbeat(HeartbeatAnswer{Taken: true, Relay: relay.For(w, t.seeded.relays)})
+		t.answerHeartbeat(HeartbeatAnswer{Taken: true, Relay: relay.AddressFor(w, t.seeded.relays)})
 		return
 	}
 	taken := t.mayRelay(w)
@@ -75,14 +75,14 @@
 // a hub sends its workers away.
 func (t *transition) mayRelay(w registry.Worker) bool {
 	known, ok := t.requests.Worker(w.ID)
-	if !relay.SaysNothingNew(w, known, ok) || t.draining || t.seeded.hub.serves {
+	if !relay.CanAcknowledge(w, known, ok) || t.draining || t.seeded.hub.serves {
 		return false
 	}
-	if !t.seeded.relay.HasRoom(w.ID, t.requests.KnownWorkers(), t.seeded.hosts) {
+	if !t.seeded.relay.HasCapacity(w.ID, t.requests.KnownWorkers(), t.seeded.hosts) {
 		return false
 	}
-	contact := relay.Contact{InTouch: t.replicaRepliedWithin(relay.ReplicaTimeout), Ever: t.replicaEverReplied()}
-	next, kept := t.seeded.relay.Keeps(w.ID, contact, t.now)
+	contact := relay.ReplicaContact{Recent: t.replicaRepliedWithin(relay.ReplicaTimeout), Ever: t.replicaEverReplied()}
+	next, kept := t.seeded.relay.Accept(w.ID, contact, t.now)
 	t.seeded.relay = next
 	return kept
 }
@@ -112,10 +112,10 @@
 // now: to each replica those that it reported itself, so that no worker is reported to
 // several, and to another one where that one is silent.
 func (t *transition) heartbeatsFor(polled []ident.Host) map[ident.Host][]registry.Worker {
-	if !t.seeded.relay.Due(t.seeded.hub.serves, t.now) {
+	if !t.seeded.relay.ReportDue(t.seeded.hub.serves, t.now) {
 		return nil
 	}
-	next, workers := t.seeded.relay.Take(t.now)
+	next, workers := t.seeded.relay.TakeReport(t.now)
 	t.seeded.relay = next
 	out := map[ident.Host][]registry.Worker{}
 	for _, w := range workers {
@@ -139,5 +139,5 @@
 
 // nameRelays names the relays of the fleet, on a replica.
 func (t *transition) nameRelays(hosts []hubs.Host) {
-	t.seeded.relays = relay.Name(hosts, t.registry.Ready(), t.now.Sub(t.started))
+	t.seeded.relays = relay.Select(hosts, t.registry.Ready(), t.now.Sub(t.started))
 }
--- a/core/host/repair.go
+++ b/core/host/repair.go
@@ -30,7 +30,7 @@
 func (t *transition) lostTargets() []ident.Target {
 	var out []ident.Target
 	for id, h := range t.health.All() {
-		if gid, ok := t.layout.groupOf[id]; ok && h.Lost(t.now) && t.groups.Has(gid.String()) {
+		if gid, ok := t.layout.groupOf[id]; ok && h.PresumedDead(t.now) && t.groups.Has(gid.String()) {
 			out = append(out, id)
 		}
 	}
--- a/core/host/replica.go
+++ b/core/host/replica.go
@@ -63,8 +63,8 @@
 	t.leader = e.Leader
 	// Writes handed over in an older term may be lost; who waits sends again.
 	t.origins = table.Table[string, ident.Host]{}
-	t.seeded.inForce = t.seeded.inForce.WithoutAnswers()
-	t.seeded.zonesInForce = t.seeded.zonesInForce.WithoutAnswers()
+	t.seeded.inForce = t.seeded.inForce.WithoutPendingWrites()
+	t.seeded.zonesInForce = t.seeded.zonesInForce.WithoutPendingWrites()
 	t.note(NoteRole, string(t.settings.ID), fmt.Sprintf("%s term=%d leader=%s", e.Role, e.Term, e.Leader))
 }
 
@@ -107,7 +107,7 @@
 	p, own := t.writes.Get(w.ID)
 	switch {
 	case r.Code == catalog.OK && t.takesForce(w) && forwarded:
-		t.holdAnswer(inforce.Answer{ID: w.ID, To: from, Version: t.committedVersion(w), Result: r}, changesZone(w))
+		t.holdAnswer(inforce.PendingWrite{ID: w.ID, To: from, Version: t.committedVersion(w), Result: r}, changesZone(w))
 	case r.Code == catalog.OK && t.takesForce(w) && own:
 		t.awaitInForce(p)
 	case forwarded:
--- a/core/host/retry.go
+++ b/core/host/retry.go
@@ -57,17 +57,17 @@
 		}
 		t.finish(c, Verdict{Outcome: outcome.Ran, Code: CodeOK})
 	case outcome.NeverSent:
-		if r.Refused {
+		if r.ConnectRefused {
 			t.targetEnded(c.target, c.boot)
 		}
 		c.avoid = append(c.avoid[:len(c.avoid):len(c.avoid)], c.group)
 		t.retry(c, Verdict{Code: CodeNoTarget, Reason: "the target could not be reached: " + r.Reason}, 0)
 	case outcome.Declined:
 		t.retry(c, Verdict{Code: CodeOverloaded, Reason: "the target declined: " + r.Reason}, 0)
-	case outcome.Broken:
+	case outcome.Interrupted:
 		t.targetBroke(c, r)
 		v := Verdict{Code: CodeBroken, Reason: "the target's answer broke off: " + r.Reason}
-		if c.req.Once || r.Begun {
+		if c.req.Once || r.AnswerStarted {
 			v.Outcome = c.combined
 			t.finish(c, v)
 			return
@@ -120,7 +120,7 @@
 			h = h.WithLeaving(true, t.now)
 		}
 		t.setHealth(id, h, was)
-	case outcome.NeverSent, outcome.Broken:
+	case outcome.NeverSent, outcome.Interrupted:
 		t.setHealth(id, h.WithResult(false, t.now), was)
 	case outcome.Abandoned:
 	}
--- a/core/host/targets.go
+++ b/core/host/targets.go
@@ -16,17 +16,17 @@
 // more than maxEjected of a service's last usable group, those are used all the
 // same: most likely the fault is on our side. Targets of a zone without hosts
 // of its own are used only while they answer: the zone may be cut off.
-func (t *transition) specs(id routing.GroupID, targets []config.Target) []routing.Spec {
-	specs := make([]routing.Spec, 0, len(targets))
+func (t *transition) specs(id routing.GroupID, targets []config.Target) []routing.TargetSpec {
+	specs := make([]routing.TargetSpec, 0, len(targets))
 	ejected := 0
 	for _, target := range targets {
 		h, _ := t.health.Get(target.ID)
 		if h.Ejected(t.now) {
 			ejected++
 		}
-		specs = append(specs, routing.Spec{
+		specs = append(specs, routing.TargetSpec{
 			ID: target.ID, Slots: target.Slots, Models: target.Models,
-			Usable: h.Usable(t.now) && (id.Zone == t.settings.Zone || h.Answers(t.now)),
+			Usable: h.Usable(t.now) && (id.Zone == t.settings.Zone || h.IsResponding(t.now)),
 		})
 	}
 	if float64(ejected) <= maxEjected*float64(len(targets)) || t.usableElsewhere(id) {
@@ -42,7 +42,7 @@
 
 // usableElsewhere tells whether another group of the service has an engine.
 func (t *transition) usableElsewhere(id routing.GroupID) bool {
-	return slices.ContainsFunc(t.bound(id).Others, func(l routing.GroupLoad) bool { return l.Usable > 0 })
+	return slices.ContainsFunc(t.bound(id).OtherGroups, func(l routing.GroupLoad) bool { return l.Usable > 0 })
 }
 
 func (t *transition) reported(ev Reported) {
@@ -86,7 +86,7 @@
 
 func (t *transition) markLeaving(id ident.Target) {
 	h, _ := t.health.Get(id)
-	t.setHealth(id, h.WithReportedLeaving(t.now), h.Usable(t.now))
+	t.setHealth(id, h.WithLeavingFromPeer(t.now), h.Usable(t.now))
 }
 
 // setHealth stores h; a change of the verdict is noted and takes effect in the
@@ -108,7 +108,7 @@
 	for _, p := range t.layout.services[gid.Service] {
 		if p.id == gid {
 			g, _ := t.groups.Get(gid.String())
-			g = g.WithEngines(t.specs(p.id, p.targets), t.now)
+			g = g.WithTargets(t.specs(p.id, p.targets), t.now)
 			t.groups = t.groups.With(gid.String(), g)
 			t.serve(g)
 		}
--- a/core/host/times_test.go
+++ b/core/host/times_test.go
@@ -18,12 +18,12 @@
 func TestTimesFitTogether(t *testing.T) {
 	const heartbeat = 1200 * time.Millisecond
 	require.Equal(t, WorkerSilence(heartbeat), defaultWorkerSilence)
-	require.Less(t, relay.Interval+relay.ReplicaTimeout+heartbeat, defaultWorkerSilence)
+	require.Less(t, relay.ReportInterval+relay.ReplicaTimeout+heartbeat, defaultWorkerSilence)
 	require.Greater(t, relay.ReplicaTimeout, maxPollInterval)
 	require.Greater(t, replicaTimeout, 2*maxPollInterval)
 	require.Greater(t, clientLifetime, 2*maxPollInterval)
 	require.Greater(t, clientLifetime, groupReportInterval+maxPollInterval)
-	require.Equal(t, hubs.FailedAfter, maxLeaderWait)
+	require.Equal(t, hubs.FailureTimeout, maxLeaderWait)
 	require.Greater(t, fallbackAfter, leaderTimeoutIntervals*minPollInterval)
 	require.Equal(t, requests.DefaultKeyLease, 2*maxLeaderWait)
 	require.Less(t, balancerNotice, requests.DefaultKeyLease)
--- a/core/host/updates.go
+++ b/core/host/updates.go
@@ -74,7 +74,7 @@
 // link for longer than the fleet needs to start.
 func (t *transition) hubsExpected() bool {
 	return t.settings.IsReplica() && t.seeded.hub.list.Len() == 0 && t.seeded.clients.Len() > t.hubsAbove() &&
-		t.now.Sub(t.started) < hubWarmUp+hubs.Settle
+		t.now.Sub(t.started) < hubWarmUp+hubs.SettleTime
 }
 
 // workerBatches are packed batches of registrations, which many clients are sent, by the
--- a/core/host/view.go
+++ b/core/host/view.go
@@ -162,7 +162,7 @@
 	Permits int
 	Waiting int
 	Chats   int
-	Engines []routing.Engine
+	Engines []routing.Target
 }
 
 // DumpTarget is the health of a target as seen here.
@@ -209,8 +209,8 @@
 	}
 	for id, g := range s.groups.All() {
 		d.Groups = append(d.Groups, DumpGroup{
-			Group: id, Load: g.Total(), Usable: g.Usable(), Permits: g.Permits(), Waiting: g.Waiting(),
-			Chats: g.Chats(), Engines: g.Engines(),
+			Group: id, Load: g.TotalLoad(), Usable: g.UsableTargets(), Permits: g.PermitCount(), Waiting: g.QueueLength(),
+			Chats: g.ChatCount(), Engines: g.Targets(),
 		})
 	}
 	for id, h := range s.health.All() {
@@ -244,14 +244,14 @@
 	d := &DumpSync{
 		Hosts: s.seeded.hosts, Asks: s.seeded.hub.polledLast, Serves: s.settings.IsReplica() || s.seeded.hub.serves,
 		Askers: s.seeded.clients.Len(), ConfirmedAt: s.requests.Confirmed().AsOf, Workers: s.requests.KnownWorkers(),
-		Drained: s.heldZones().List(), ZonesRevision: s.heldZones().Revision,
+		Drained: s.heldZones().DrainedZones(), ZonesRevision: s.heldZones().Revision,
 	}
 	for _, h := range s.seeded.hub.list.Hosts {
 		d.Hubs = append(d.Hubs, h.Host)
 	}
 	for _, e := range s.requests.CrashList().Entries() {
 		_, refused := s.requests.CrashList().Refused(e.Content, now)
-		d.Crashes = append(d.Crashes, DumpCrash{Content: e.Content.String(), Ends: e.Ends, At: e.At, Refused: refused})
+		d.Crashes = append(d.Crashes, DumpCrash{Content: e.Content.String(), Ends: e.Crashes, At: e.At, Refused: refused})
 	}
 	return d
 }
--- a/core/host/world_test.go
+++ b/core/host/world_test.go
@@ -319,7 +319,7 @@
 	w.start(e, j, func(ok bool) {
 		var a outcome.Attempt = outcome.Answered{Status: 200}
 		if !ok {
-			a = outcome.Broken{Reason: "engine lost"}
+			a = outcome.Interrupted{Reason: "engine lost"}
 		}
 		w.ended(i, j, d.Attempt, a)
 	})
--- a/core/host/zones.go
+++ b/core/host/zones.go
@@ -44,7 +44,7 @@
 // takeZones serves by the drained zones that another host sent, where these are newer.
 func (t *transition) takeZones(from ident.Host, sent zones.Drained) {
 	before := t.seeded.zones
-	t.seeded.zones = before.Newest(sent)
+	t.seeded.zones = before.Latest(sent)
 	if t.seeded.zones.Revision == before.Revision {
 		return
 	}
@@ -63,7 +63,7 @@
 
 // noteZones logs the orders after a revision.
 func (t *transition) noteZones(before uint64, from string) {
-	for _, o := range t.heldZones().Since(before) {
+	for _, o := range t.heldZones().OrdersSince(before) {
 		t.note(NoteZoneOrder, string(o.Zone), fmt.Sprintf("drained=%t revision=%d before=%d by=%s", o.Drained, o.Revision, before, from))
 	}
 }
@@ -92,7 +92,7 @@
 		// Each order makes a worker's registration newer, as hubs may not know its latest
 		// heartbeats.
 		workers[i].Seq += held.RevisionOf(w.Zone)
-		if held.Has(w.Zone) && w.State < registry.Draining {
+		if held.IsDrained(w.Zone) && w.State < registry.Draining {
 			workers[i].State = registry.Draining
 		}
 	}
@@ -147,7 +147,7 @@
 // the reply confirms those held here.
 func (t *transition) grantZonesLease(from ident.Host, m Poll) {
 	t.seeded.zonesInForce = t.seeded.zonesInForce.WithGrant(inforce.Grant{
-		From: from, Boot: m.Boot, InForce: m.ZonesInForce, Sent: zonesVersion(t.heldZones().Revision),
+		From: from, Boot: m.Boot, OldestInForce: m.ZonesInForce, SentVersion: zonesVersion(t.heldZones().Revision),
 	}, t.now)
 }
 
@@ -160,7 +160,7 @@
 // zonesSettings are the bounds by which orders are acknowledged.
 func (t *transition) zonesSettings() inforce.Settings {
 	set := t.inForceSettings()
-	return set.WithHold(zonesHold, t.requests.ZoneDrain())
+	return set.WithAckDelay(zonesHold, t.requests.ZoneDrain())
 }
 
 // zonesReportDue tells whether this host polls early, as a leader may wait for its news.
@@ -170,7 +170,7 @@
 
 // zonesReport is the oldest revision in force, as reported in polls now.
 func (t *transition) zonesReport() config.Version {
-	next, oldest := t.seeded.zonesInForce.WithReport(zonesVersion(t.seeded.zones.Revision), t.zonesSettings(), t.now)
+	next, oldest := t.seeded.zonesInForce.TakeReport(zonesVersion(t.seeded.zones.Revision), t.zonesSettings(), t.now)
 	t.seeded.zonesInForce = next
 	return oldest
 }
--- a/core/host/zones_test.go
+++ b/core/host/zones_test.go
@@ -74,7 +74,7 @@
 				t.Logf("drained=%t after %s", drained, took)
 				require.Less(t, took, time.Second)
 				for i := range entries {
-					require.Equal(t, drained, f.states[entryName(i)].Zones().Has("hall-b"))
+					require.Equal(t, drained, f.states[entryName(i)].Zones().IsDrained("hall-b"))
 				}
 			}
 		})
@@ -360,7 +360,7 @@
 				}
 				if leader := f.leader(); leader != "" {
 					history = append(history, porcupine.Operation{
-						ClientId: len(history), Input: zoneInput{read: true}, Output: f.states[leader].Zones().Has("hall-b"), Call: at(), Return: at() + 1,
+						ClientId: len(history), Input: zoneInput{read: true}, Output: f.states[leader].Zones().IsDrained("hall-b"), Call: at(), Return: at() + 1,
 					})
 				}
 			}
--- a/core/hubs/choice.go
+++ b/core/hubs/choice.go
@@ -18,17 +18,17 @@
 //
 // Inputs: the list of hubs, when each gave its last useful reply, the host's zone.
 const (
-	// PolledAtOnce is how many hubs a host polls.
-	PolledAtOnce = 2
+	// MaxPolled is how many hubs a host polls.
+	MaxPolled = 2
 	// avoidance is how long a hub without a useful reply is passed over. Chosen, not
 	// measured.
 	avoidance = 5 * time.Second
-	// FailedAfter is half of the default key lease.
-	FailedAfter = 2 * time.Second
+	// FailureTimeout is half of the default key lease.
+	FailureTimeout = 2 * time.Second
 )
 
-// Choice are the hubs that a host polls. It is immutable; the zero value polls none.
-type Choice struct {
+// PollSet are the hubs that a host polls. It is immutable; the zero value polls none.
+type PollSet struct {
 	// polled are they, by since when; avoided are those without a useful reply, by when
 	// they were passed over.
 	polled  table.Table[ident.Host, time.Time]
@@ -43,9 +43,9 @@
 	Zone ident.Zone
 }
 
-// Renewed returns the choice among the hubs of a list; lastUseful is when a hub gave its
+// Updated returns the choice among the hubs of a list; lastUseful is when a hub gave its
 // last useful reply, timeout how long it may give none.
-func (c Choice) Renewed(list []Host, self Self, lastUseful func(ident.Host) time.Time, timeout time.Duration, now time.Time) Choice {
+func (c PollSet) Updated(list []Host, self Self, lastUseful func(ident.Host) time.Time, timeout time.Duration, now time.Time) PollSet {
 	for id, since := range c.polled.All() {
 		if now.Sub(since) > timeout && now.Sub(lastUseful(id)) > timeout {
 			c.avoided = c.avoided.With(id, now)
@@ -61,18 +61,18 @@
 }
 
 // picked are the hubs that rank first for the host and are not avoided.
-func (c Choice) picked(list []Host, self Self, now time.Time) table.Table[ident.Host, time.Time] {
+func (c PollSet) picked(list []Host, self Self, now time.Time) table.Table[ident.Host, time.Time] {
 	key := hash.Of("hub of", string(self.ID))
 	ranked := slices.Clone(list)
 	slices.SortFunc(ranked, func(a, b Host) int {
 		if near := a.Zone == self.Zone; near != (b.Zone == self.Zone) {
-			return First(near)
+			return SortOrder(near)
 		}
 		return byRank(key, a, b)
 	})
 	var polled table.Table[ident.Host, time.Time]
 	for _, hub := range ranked {
-		if polled.Len() == PolledAtOnce {
+		if polled.Len() == MaxPolled {
 			break
 		}
 		if c.avoided.Has(hub.Host) {
@@ -87,15 +87,15 @@
 	return polled
 }
 
-// Without returns the choice of a host that polls no hubs.
-func (c Choice) Without() Choice {
+// Cleared returns the choice of a host that polls no hubs.
+func (c PollSet) Cleared() PollSet {
 	c.polled = table.Table[ident.Host, time.Time]{}
 	return c
 }
 
 // Polled are the hubs that the host polls, in the order of their names.
-func (c Choice) Polled() []ident.Host {
-	out := make([]ident.Host, 0, PolledAtOnce)
+func (c PollSet) Polled() []ident.Host {
+	out := make([]ident.Host, 0, MaxPolled)
 	for h := range c.polled.All() {
 		out = append(out, h)
 	}
@@ -103,14 +103,14 @@
 }
 
 // Has tells whether the host polls a hub.
-func (c Choice) Has(id ident.Host) bool { return c.polled.Has(id) }
+func (c PollSet) Has(id ident.Host) bool { return c.polled.Has(id) }
 
-// WithUseful notes a useful reply of a hub, or that hubs have just come into force.
-func (c Choice) WithUseful(now time.Time) Choice {
+// WithUsefulReply notes a useful reply of a hub, or that hubs have just come into force.
+func (c PollSet) WithUsefulReply(now time.Time) PollSet {
 	c.usefulAt = now
 	return c
 }
 
 // Failed tells whether no hub has given a useful reply for so long that replicas must be
 // polled.
-func (c Choice) Failed(now time.Time) bool { return now.Sub(c.usefulAt) > FailedAfter }
+func (c PollSet) Failed(now time.Time) bool { return now.Sub(c.usefulAt) > FailureTimeout }
--- a/core/hubs/hubs.go
+++ b/core/hubs/hubs.go
@@ -59,33 +59,33 @@
 // Measured at 300 machines and 3,000 workers: 0.98 of the requests served and the busiest
 // replica at 46% of its processor; 0.89 and 87% without Settle, 0.21 without hubs.
 const (
-	// DefaultAbove is the number of entry hosts above which hubs are named. They stay
+	// DefaultThreshold is the number of entry hosts above which hubs are named. They stay
 	// until there are fewer than stayPercent of that. Chosen, not measured.
-	DefaultAbove = 40
-	stayPercent  = 75
+	DefaultThreshold = 40
+	stayPercent      = 75
 	// hostsPerHub is how many hosts a hub is meant to serve, minPerZone the least number
 	// of hubs in a zone, so that one may be lost. Chosen, not measured.
 	hostsPerHub = 16
 	minPerZone  = 2
-	// Settle is how long another list must have been the same: longer than hosts need to
+	// SettleTime is how long another list must have been the same: longer than hosts need to
 	// turn to hubs and hubs to report whom they count.
-	Settle = 2500 * time.Millisecond
+	SettleTime = 2500 * time.Millisecond
 	// percent divides percentages.
 	percent = 100
 )
 
-// Naming is the list of hubs in force on a host: the one that a replica names, or the one
+// Selection is the list of hubs in force on a host: the one that a replica names, or the one
 // that it got. It is immutable; the zero value is none.
-type Naming struct {
+type Selection struct {
 	List
 	// nextKey is the key of the list last made, the same since nextSince.
 	nextKey   hash.Key
 	nextSince time.Time
 }
 
-// Renewed returns the naming of a replica that knows the live entry hosts; above is the
+// Updated returns the naming of a replica that knows the live entry hosts; above is the
 // number above which hubs are named.
-func (n Naming) Renewed(hosts []Host, above int, now time.Time) Naming {
+func (n Selection) Updated(hosts []Host, above int, now time.Time) Selection {
 	if n.Len() > 0 {
 		above = above * stayPercent / percent
 	}
@@ -96,7 +96,7 @@
 	if next.Key != n.nextKey {
 		n.nextKey, n.nextSince = next.Key, now
 	}
-	if next.Key == n.Key || n.Len() > 0 && now.Sub(n.nextSince) < Settle {
+	if next.Key == n.Key || n.Len() > 0 && now.Sub(n.nextSince) < SettleTime {
 		return n
 	}
 	n.List = next
@@ -139,11 +139,11 @@
 
 // byRank orders hosts by their rendezvous scores for a key, the highest first.
 func byRank(key hash.Key, a, b Host) int {
-	return First(hash.Mix(key, hash.Of(string(a.Host))) > hash.Mix(key, hash.Of(string(b.Host))))
+	return SortOrder(hash.Mix(key, hash.Of(string(a.Host))) > hash.Mix(key, hash.Of(string(b.Host))))
 }
 
-// First is the result of a comparison where a does, or does not, go first.
-func First(aFirst bool) int {
+// SortOrder is the result of a comparison where a does, or does not, go first.
+func SortOrder(aFirst bool) int {
 	if aFirst {
 		return -1
 	}
--- a/core/hubs/hubs_test.go
+++ b/core/hubs/hubs_test.go
@@ -25,48 +25,48 @@
 }
 
 func TestHubsAreNamedAboveANumberAndStayBelowIt(t *testing.T) {
-	n := hubs.Naming{}.Renewed(fleet(40), 40, start)
+	n := hubs.Selection{}.Updated(fleet(40), 40, start)
 	require.Zero(t, n.Len())
-	n = n.Renewed(fleet(48), 40, start.Add(time.Second))
+	n = n.Updated(fleet(48), 40, start.Add(time.Second))
 	require.Equal(t, 6, n.Len(), "two in each zone")
 	later := start.Add(time.Minute)
-	n = n.Renewed(fleet(36), 40, later).Renewed(fleet(36), 40, later.Add(hubs.Settle))
+	n = n.Updated(fleet(36), 40, later).Updated(fleet(36), 40, later.Add(hubs.SettleTime))
 	require.Equal(t, 6, n.Len(), "above three quarters they stay")
-	n = n.Renewed(fleet(30), 40, later.Add(time.Minute)).Renewed(fleet(30), 40, later.Add(2*time.Minute))
+	n = n.Updated(fleet(30), 40, later.Add(time.Minute)).Updated(fleet(30), 40, later.Add(2*time.Minute))
 	require.Zero(t, n.Len())
 }
 
 func TestAnotherListMustSettle(t *testing.T) {
-	n := hubs.Naming{}.Renewed(fleet(90), 40, start)
+	n := hubs.Selection{}.Updated(fleet(90), 40, start)
 	first := n.Key
-	n = n.Renewed(fleet(45), 40, start.Add(time.Second))
+	n = n.Updated(fleet(45), 40, start.Add(time.Second))
 	require.Equal(t, first, n.Key)
-	n = n.Renewed(fleet(90), 40, start.Add(2*time.Second))
-	n = n.Renewed(fleet(45), 40, start.Add(3*time.Second))
-	n = n.Renewed(fleet(45), 40, start.Add(3*time.Second+hubs.Settle-1))
+	n = n.Updated(fleet(90), 40, start.Add(2*time.Second))
+	n = n.Updated(fleet(45), 40, start.Add(3*time.Second))
+	n = n.Updated(fleet(45), 40, start.Add(3*time.Second+hubs.SettleTime-1))
 	require.Equal(t, first, n.Key, "it was another one in between")
-	n = n.Renewed(fleet(45), 40, start.Add(3*time.Second+hubs.Settle))
+	n = n.Updated(fleet(45), 40, start.Add(3*time.Second+hubs.SettleTime))
 	require.NotEqual(t, first, n.Key)
 }
 
 func TestSilentHubIsPassedOver(t *testing.T) {
-	list := hubs.Naming{}.Renewed(fleet(48), 40, start).Hosts
+	list := hubs.Selection{}.Updated(fleet(48), 40, start).Hosts
 	self := hubs.Self{ID: "h001", Zone: "z1"}
 	replies := map[ident.Host]time.Time{}
 	last := func(h ident.Host) time.Time { return replies[h] }
-	c := hubs.Choice{}.Renewed(list, self, last, time.Second, start)
+	c := hubs.PollSet{}.Updated(list, self, last, time.Second, start)
 	before := c.Polled()
-	require.Len(t, before, hubs.PolledAtOnce)
+	require.Len(t, before, hubs.MaxPolled)
 	replies[before[0]] = start.Add(2 * time.Second)
-	c = c.Renewed(list, self, last, time.Second, start.Add(2*time.Second))
+	c = c.Updated(list, self, last, time.Second, start.Add(2*time.Second))
 	require.True(t, c.Has(before[0]))
 	require.False(t, c.Has(before[1]))
-	require.Len(t, c.Polled(), hubs.PolledAtOnce, "another one takes its place")
-	require.Empty(t, c.Without().Polled())
+	require.Len(t, c.Polled(), hubs.MaxPolled, "another one takes its place")
+	require.Empty(t, c.Cleared().Polled())
 }
 
 func TestHubsFailWithoutAUsefulReply(t *testing.T) {
-	c := hubs.Choice{}.WithUseful(start)
-	require.False(t, c.Failed(start.Add(hubs.FailedAfter)))
-	require.True(t, c.Failed(start.Add(hubs.FailedAfter+1)))
+	c := hubs.PollSet{}.WithUsefulReply(start)
+	require.False(t, c.Failed(start.Add(hubs.FailureTimeout)))
+	require.True(t, c.Failed(start.Add(hubs.FailureTimeout+1)))
 }
--- a/core/inforce/inforce.go
+++ b/core/inforce/inforce.go
@@ -32,9 +32,9 @@
 )
 
 const (
-	// DefaultWithin is the time after its acknowledgement in which a table is in force
+	// DefaultInForceWithin is the time after its acknowledgement in which a table is in force
 	// everywhere, as the users ask for it.
-	DefaultWithin = 2 * time.Second
+	DefaultInForceWithin = 2 * time.Second
 	// margin is kept from Within for clocks that run at other rates, and for the path of
 	// a request from the decision to its worker. Chosen, not measured.
 	margin = 100 * time.Millisecond
@@ -48,33 +48,33 @@
 type Settings struct {
 	// KeyLease is how long a confirmation serves requests with a key.
 	KeyLease time.Duration
-	// Within is the time after its acknowledgement in which a table is in force; 0 is
+	// InForceWithin is the time after its acknowledgement in which a table is in force; 0 is
 	// DefaultWithin.
-	Within time.Duration
+	InForceWithin time.Duration
 	// WarmUp is how long a replica that starts is polled before it knows who holds
 	// leases: longer than hosts of any fleet leave between two polls.
 	WarmUp time.Duration
 }
 
-// MaxHold is how long after it was sent an older table a silent host may hold an
+// MaxAckDelay is how long after it was sent an older table a silent host may hold an
 // acknowledgement up.
-func (s Settings) MaxHold() time.Duration {
-	within := s.Within
+func (s Settings) MaxAckDelay() time.Duration {
+	within := s.InForceWithin
 	if within <= 0 {
-		within = DefaultWithin
+		within = DefaultInForceWithin
 	}
 	return max(0, s.KeyLease-within+margin)
 }
 
-// WithHold returns the bounds for something that must be in force within a time of its
+// WithAckDelay returns the bounds for something that must be in force within a time of its
 // acknowledgement: that is held up for as long as leases need, and at least for hold.
-func (s Settings) WithHold(hold, within time.Duration) Settings {
-	s.Within = min(within, max(s.KeyLease+margin-hold, time.Nanosecond))
+func (s Settings) WithAckDelay(hold, within time.Duration) Settings {
+	s.InForceWithin = min(within, max(s.KeyLease+margin-hold, time.Nanosecond))
 	return s
 }
 
-// View is what the host knows besides.
-type View struct {
+// HostInfo is what the host knows besides.
+type HostInfo struct {
 	Self ident.Host
 	// Started is when this process started, LeaderSince when it last became leader.
 	Started     time.Time
@@ -99,11 +99,11 @@
 	From ident.Host
 	// Boot is the start of the other host's process.
 	Boot uint64
-	// InForce is the oldest table by which the other host, or any that it granted a
+	// OldestInForce is the oldest table by which the other host, or any that it granted a
 	// lease, may serve, as it reports.
-	InForce config.Version
-	// Sent is the version that the reply names the newest.
-	Sent config.Version
+	OldestInForce config.Version
+	// SentVersion is the version that the reply names the newest.
+	SentVersion config.Version
 }
 
 // WithGrant remembers the lease that the reply to a poll grants. An earlier process of
@@ -114,13 +114,13 @@
 		l = lease{}
 	}
 	l.boot = g.Boot
-	l.inForce = max(l.inForce, g.InForce)
-	s.leases = s.leases.With(g.From, l.withSent(g.Sent, now))
+	l.inForce = max(l.inForce, g.OldestInForce)
+	s.leases = s.leases.With(g.From, l.withSent(g.SentVersion, now))
 	return s
 }
 
-// WithoutEnded drops the leases that have ended.
-func (s State) WithoutEnded(set Settings, now time.Time) State {
+// WithoutExpired drops the leases that have ended.
+func (s State) WithoutExpired(set Settings, now time.Time) State {
 	for id, l := range s.leases.All() {
 		if now.Sub(l.sentAt) >= set.KeyLease {
 			s.leases = s.leases.Without(id)
@@ -129,9 +129,9 @@
 	return s
 }
 
-// Oldest is the oldest table by which this host, which holds a version, or any that it
+// OldestInForce is the oldest table by which this host, which holds a version, or any that it
 // granted a lease, may serve.
-func (s State) Oldest(held config.Version, set Settings, now time.Time) config.Version {
+func (s State) OldestInForce(held config.Version, set Settings, now time.Time) config.Version {
 	oldest := held
 	for _, l := range s.leases.All() {
 		if l.inForce < oldest && now.Sub(l.lastSentBefore(oldest)) < set.KeyLease {
@@ -144,12 +144,12 @@
 // ReportDue tells whether this host has news of what is in force, for which a leader may
 // wait, so that it polls before its time.
 func (s State) ReportDue(held config.Version, set Settings, now time.Time) bool {
-	return now.Sub(s.reportedAt) >= reportGap && s.Oldest(held, set, now) > s.reported
+	return now.Sub(s.reportedAt) >= reportGap && s.OldestInForce(held, set, now) > s.reported
 }
 
-// WithReport returns the oldest table in force, to be reported in polls now.
-func (s State) WithReport(held config.Version, set Settings, now time.Time) (State, config.Version) {
-	s.reported, s.reportedAt = s.Oldest(held, set, now), now
+// TakeReport returns the oldest table in force, to be reported in polls now.
+func (s State) TakeReport(held config.Version, set Settings, now time.Time) (State, config.Version) {
+	s.reported, s.reportedAt = s.OldestInForce(held, set, now), now
 	return s, s.reported
 }
 
@@ -159,11 +159,11 @@
 	return s
 }
 
-// WillBe tells whether a table that is committed here will be in force everywhere within
+// WillBeInForce tells whether a table that is committed here will be in force everywhere within
 // Settings.Within, and if not, one host that may serve by an older one; this host itself
 // stands for those that it does not know yet.
-func (s State) WillBe(v config.Version, set Settings, view View, now time.Time) (ok bool, waitsFor ident.Host) {
-	hold := set.MaxHold()
+func (s State) WillBeInForce(v config.Version, set Settings, view HostInfo, now time.Time) (ok bool, waitsFor ident.Host) {
+	hold := set.MaxAckDelay()
 	if now.Sub(s.committedAt) >= hold && now.Sub(view.Started) >= hold {
 		// No older table was confirmed since.
 		return true, ""
--- a/core/loads/loads.go
+++ b/core/loads/loads.go
@@ -102,8 +102,8 @@
 	return Pack(total)
 }
 
-// Without returns what remains of a sum without one of its parts.
-func (d Digest) Without(part Digest) Digest {
+// Subtract returns what remains of a sum without one of its parts.
+func (d Digest) Subtract(part Digest) Digest {
 	out := make(Digest, 0, len(d))
 	next, stop := iter.Pull2(part.All())
 	defer stop()
--- a/core/loads/loads_test.go
+++ b/core/loads/loads_test.go
@@ -29,7 +29,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawCounts(t, "a"), drawCounts(t, "b"), drawCounts(t, "c")
 		sum := loads.Sum(slices.Values([]loads.Digest{loads.Pack(a), loads.Pack(b), loads.Pack(c)}))
-		rest := sum.Without(loads.Pack(b)).Counts()
+		rest := sum.Subtract(loads.Pack(b)).Counts()
 		require.Equal(t, loads.Sum(slices.Values([]loads.Digest{loads.Pack(a), loads.Pack(c)})).Counts(), rest)
 		require.Equal(t, a, loads.Pack(a).Counts())
 	})
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -58,15 +58,15 @@
 	lookAt    time.Time
 }
 
-// WithRequest remembers that a replica asks to be taken in.
-func (s State) WithRequest(identity ident.Host, now time.Time) State {
+// WithJoinRequest remembers that a replica asks to be taken in.
+func (s State) WithJoinRequest(identity ident.Host, now time.Time) State {
 	s.requests = s.requests.With(identity, now)
 	return s
 }
 
-// RequestDue tells whether this replica, which started at a time, asks to be taken in now:
+// JoinRequestDue tells whether this replica, which started at a time, asks to be taken in now:
 // it knows no leader, and does not just wait for an election as a voter.
-func (s State) RequestDue(r raft.State, started, now time.Time) (State, bool) {
+func (s State) JoinRequestDue(r raft.State, started, now time.Time) (State, bool) {
 	if now.Before(s.requestAt) || r.Leader() != "" {
 		return s, false
 	}
@@ -74,9 +74,9 @@
 	return s, !r.IsVoter() || now.Sub(started) >= leaderlessRequest
 }
 
-// Next returns the change of the member list that the leader makes now, if any; self is
+// NextChange returns the change of the member list that the leader makes now, if any; self is
 // this replica, voters is how many replicas shall vote.
-func (s State) Next(r raft.State, self ident.Host, voters int, now time.Time) (State, raft.ChangeMember, bool) {
+func (s State) NextChange(r raft.State, self ident.Host, voters int, now time.Time) (State, raft.ChangeMember, bool) {
 	if now.Before(s.lookAt) {
 		return s, raft.ChangeMember{}, false
 	}
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -46,30 +46,30 @@
 
 func TestReplicaThatAsksBecomesALearner(t *testing.T) {
 	leader, now := leaderOf(t)
-	s := membership.State{}.WithRequest("b:1#disk", now)
-	s, change, ok := s.Next(leader, self, 3, now)
+	s := membership.State{}.WithJoinRequest("b:1#disk", now)
+	s, change, ok := s.NextChange(leader, self, 3, now)
 	require.True(t, ok)
 	require.Equal(t, raft.ChangeMember{Member: raft.Member{ID: "b:1#disk"}}, change)
-	_, _, ok = s.Next(leader, self, 3, now)
+	_, _, ok = s.NextChange(leader, self, 3, now)
 	require.False(t, ok, "one look at a time")
 }
 
 func TestRequestIsForgotten(t *testing.T) {
 	leader, now := leaderOf(t)
-	s := membership.State{}.WithRequest("b:1#disk", now.Add(-2*time.Second))
-	_, _, ok := s.Next(leader, self, 3, now)
+	s := membership.State{}.WithJoinRequest("b:1#disk", now.Add(-2*time.Second))
+	_, _, ok := s.NextChange(leader, self, 3, now)
 	require.False(t, ok)
 }
 
 func TestReplicaAsksWhileItKnowsNoLeader(t *testing.T) {
 	alone := raft.New("b:1#disk", raft.Options{}, 1, raft.Boot{}, start)
-	s, due := membership.State{}.RequestDue(alone, start, start)
+	s, due := membership.State{}.JoinRequestDue(alone, start, start)
 	require.True(t, due)
-	s, due = s.RequestDue(alone, start, start.Add(100*time.Millisecond))
+	s, due = s.JoinRequestDue(alone, start, start.Add(100*time.Millisecond))
 	require.False(t, due, "not again at once")
-	_, due = s.RequestDue(alone, start, start.Add(time.Second))
+	_, due = s.JoinRequestDue(alone, start, start.Add(time.Second))
 	require.True(t, due)
 	leader, now := leaderOf(t)
-	_, due = membership.State{}.RequestDue(leader, start, now)
+	_, due = membership.State{}.JoinRequestDue(leader, start, now)
 	require.False(t, due)
 }
--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -41,10 +41,10 @@
 	// NeverSent means that no byte was written to the target.
 	NeverSent struct {
 		Reason string
-		// Silent is true where nobody answered a new connection in time, Refused where it
+		// ConnectTimedOut is true where nobody answered a new connection in time, Refused where it
 		// was refused, as no process listens there.
-		Silent  bool
-		Refused bool
+		ConnectTimedOut bool
+		ConnectRefused  bool
 	}
 	// Declined means that the target said that it did not run the request.
 	Declined struct {
@@ -54,23 +54,23 @@
 		// RetryAfter is when the target may be tried again, as it says; 0 for no advice.
 		RetryAfter time.Duration
 	}
-	// Broken means that bytes were sent and the whole answer did not come.
-	Broken struct {
+	// Interrupted means that bytes were sent and the whole answer did not come.
+	Interrupted struct {
 		Reason string
-		// Begun is true where the caller has already seen part of it.
-		Begun bool
-		// Silent is true where nothing at all came in the time allowed.
-		Silent bool
+		// AnswerStarted is true where the caller has already seen part of it.
+		AnswerStarted bool
+		// TimedOut is true where nothing at all came in the time allowed.
+		TimedOut bool
 	}
 	// Abandoned means that the caller left.
 	Abandoned struct{ Sent bool }
 )
 
-func (Answered) attempt()  {}
-func (NeverSent) attempt() {}
-func (Declined) attempt()  {}
-func (Broken) attempt()    {}
-func (Abandoned) attempt() {}
+func (Answered) attempt()    {}
+func (NeverSent) attempt()   {}
+func (Declined) attempt()    {}
+func (Interrupted) attempt() {}
+func (Abandoned) attempt()   {}
 
 // Of returns the outcome that a single attempt proves.
 func Of(a Attempt) Kind {
@@ -79,7 +79,7 @@
 		return Ran
 	case NeverSent, Declined:
 		return NotRun
-	case Broken:
+	case Interrupted:
 		return Unknown
 	case Abandoned:
 		if a.Sent {
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -52,9 +52,9 @@
 	// measured.
 	roomFactor = 2
 	roomLeast  = 16
-	// Interval is the time between two reports of a relay; several fit into the time that
+	// ReportInterval is the time between two reports of a relay; several fit into the time that
 	// a worker may be silent.
-	Interval = 1500 * time.Millisecond
+	ReportInterval = 1500 * time.Millisecond
 	// ReplicaTimeout is how recently a replica must have replied to a relay: one that is
 	// cut off must not acknowledge what no replica will know of. It is longer than a host
 	// of a large fleet leaves between two polls, and with Interval and one heartbeat
@@ -62,9 +62,9 @@
 	ReplicaTimeout = 3 * time.Second
 )
 
-// Name returns the entry hosts that are relays, on a replica that has run for a time; none
+// Select returns the entry hosts that are relays, on a replica that has run for a time; none
 // where a fleet is small.
-func Name(hosts []hubs.Host, readyWorkers int, running time.Duration) []hubs.Host {
+func Select(hosts []hubs.Host, readyWorkers int, running time.Duration) []hubs.Host {
 	small := readyWorkers <= aboveWorkers && len(hosts) <= aboveHosts
 	if small || running < warmUp {
 		return nil
@@ -72,9 +72,9 @@
 	return slices.DeleteFunc(slices.Clone(hosts), func(h hubs.Host) bool { return h.Relay == "" })
 }
 
-// For returns the address of the relay for a worker, one of its zone if there is one; empty
+// AddressFor returns the address of the relay for a worker, one of its zone if there is one; empty
 // for none.
-func For(w registry.Worker, relays []hubs.Host) string {
+func AddressFor(w registry.Worker, relays []hubs.Host) string {
 	if w.State != registry.Ready {
 		return ""
 	}
@@ -86,10 +86,10 @@
 	return relay.Relay
 }
 
-// SaysNothingNew tells whether a heartbeat is at odds with nothing that is known of the
+// CanAcknowledge tells whether a heartbeat is at odds with nothing that is known of the
 // worker, so that a relay may acknowledge it. A worker not known yet has just registered
 // with a replica, and its registration is in transit.
-func SaysNothingNew(w, have registry.Worker, known bool) bool {
+func CanAcknowledge(w, have registry.Worker, known bool) bool {
 	sameProcess := have.Born == w.Born || have.Born == 0 || w.Born == 0
 	same := sameProcess && have.Pool == w.Pool && have.Address == w.Address && have.Zone == w.Zone && have.Slots == w.Slots
 	settled := have.State == registry.Ready || have.State == registry.Silent
@@ -107,21 +107,21 @@
 	keptAlone table.Table[ident.Target, time.Time]
 }
 
-// Contact is what a relay knows of its replicas.
-type Contact struct {
-	// InTouch is set where one has replied within ReplicaTimeout, Ever where one has
+// ReplicaContact is what a relay knows of its replicas.
+type ReplicaContact struct {
+	// Recent is set where one has replied within ReplicaTimeout, Ever where one has
 	// replied to this process at all.
-	InTouch bool
-	Ever    bool
+	Recent bool
+	Ever   bool
 }
 
-// Keeps tells whether replicas will know in time that a worker lives: one of them has
+// Accept tells whether replicas will know in time that a worker lives: one of them has
 // replied, or the worker was at one of them not long ago. A relay without replies sends
 // each worker back once, and when it returns, which it does from a replica, keeps it for
 // ReplicaTimeout. If it sent back every heartbeat, replicas that are slow to reply would
 // get all heartbeats of the fleet, and be slower still.
-func (s State) Keeps(id ident.Target, c Contact, now time.Time) (State, bool) {
-	if c.InTouch {
+func (s State) Accept(id ident.Target, c ReplicaContact, now time.Time) (State, bool) {
+	if c.Recent {
 		s.keptAlone = table.Table[ident.Target, time.Time]{}
 		return s, true
 	}
@@ -141,9 +141,9 @@
 	return s, true
 }
 
-// HasRoom tells whether a relay takes one more worker between two reports, by how many
+// HasCapacity tells whether a relay takes one more worker between two reports, by how many
 // workers and entry hosts there are.
-func (s State) HasRoom(id ident.Target, workers, hosts int) bool {
+func (s State) HasCapacity(id ident.Target, workers, hosts int) bool {
 	if _, ok := s.gathered[id]; ok {
 		return true
 	}
@@ -166,14 +166,14 @@
 	return s
 }
 
-// Due tells whether there are heartbeats to report now; a hub passes on at once what relays
+// ReportDue tells whether there are heartbeats to report now; a hub passes on at once what relays
 // have gathered.
-func (s State) Due(isHub bool, now time.Time) bool {
-	return len(s.gathered) > 0 && (isHub || now.Sub(s.sentAt) >= Interval)
+func (s State) ReportDue(isHub bool, now time.Time) bool {
+	return len(s.gathered) > 0 && (isHub || now.Sub(s.sentAt) >= ReportInterval)
 }
 
-// Take takes out the heartbeats to report, in the order of the workers' ids.
-func (s State) Take(now time.Time) (State, []registry.Worker) {
+// TakeReport takes out the heartbeats to report, in the order of the workers' ids.
+func (s State) TakeReport(now time.Time) (State, []registry.Worker) {
 	workers := slices.SortedFunc(maps.Values(s.gathered), registry.ByID)
 	s.gathered, s.sentAt = nil, now
 	return s, workers
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -23,61 +23,61 @@
 
 func TestRelaysAreNamedInLargeFleetsOnly(t *testing.T) {
 	hosts := []hubs.Host{{Host: "a", Zone: "x", Relay: "a:1"}, {Host: "b", Zone: "y"}, {Host: "c", Zone: "y", Relay: "c:1"}}
-	require.Empty(t, relay.Name(hosts, 150, time.Minute))
-	require.Empty(t, relay.Name(hosts, 151, 0), "a replica that starts knows few")
-	relays := relay.Name(hosts, 151, time.Minute)
+	require.Empty(t, relay.Select(hosts, 150, time.Minute))
+	require.Empty(t, relay.Select(hosts, 151, 0), "a replica that starts knows few")
+	relays := relay.Select(hosts, 151, time.Minute)
 	require.Len(t, relays, 2, "b takes no heartbeats")
-	require.Equal(t, "c:1", relay.For(worker(1, "y"), relays))
-	require.NotEmpty(t, relay.For(worker(1, "z"), relays), "no relay in its zone")
+	require.Equal(t, "c:1", relay.AddressFor(worker(1, "y"), relays))
+	require.NotEmpty(t, relay.AddressFor(worker(1, "z"), relays), "no relay in its zone")
 	leaving := worker(1, "y")
 	leaving.State = registry.Draining
-	require.Empty(t, relay.For(leaving, relays))
+	require.Empty(t, relay.AddressFor(leaving, relays))
 }
 
 func TestRelayAcknowledgesNothingNew(t *testing.T) {
 	w := worker(1, "x")
-	require.True(t, relay.SaysNothingNew(w, registry.Worker{}, false))
-	require.True(t, relay.SaysNothingNew(w, w, true))
+	require.True(t, relay.CanAcknowledge(w, registry.Worker{}, false))
+	require.True(t, relay.CanAcknowledge(w, w, true))
 	moved, leaving := w, w
 	moved.Address = "elsewhere"
 	leaving.State = registry.Draining
-	require.False(t, relay.SaysNothingNew(moved, w, true))
-	require.False(t, relay.SaysNothingNew(leaving, w, true))
-	require.False(t, relay.SaysNothingNew(w, leaving, true))
+	require.False(t, relay.CanAcknowledge(moved, w, true))
+	require.False(t, relay.CanAcknowledge(leaving, w, true))
+	require.False(t, relay.CanAcknowledge(w, leaving, true))
 }
 
 func TestRelayWithoutReplicasSendsEachWorkerBackOnce(t *testing.T) {
-	lost := relay.Contact{Ever: true}
-	s, kept := relay.State{}.Keeps("w", lost, start)
+	lost := relay.ReplicaContact{Ever: true}
+	s, kept := relay.State{}.Accept("w", lost, start)
 	require.False(t, kept)
-	s, kept = s.Keeps("w", lost, start.Add(time.Second))
+	s, kept = s.Accept("w", lost, start.Add(time.Second))
 	require.True(t, kept, "it came back from a replica")
-	s, kept = s.Keeps("w", lost, start.Add(time.Second+relay.ReplicaTimeout))
+	s, kept = s.Accept("w", lost, start.Add(time.Second+relay.ReplicaTimeout))
 	require.False(t, kept)
-	_, kept = s.Keeps("w", relay.Contact{InTouch: true, Ever: true}, start)
+	_, kept = s.Accept("w", relay.ReplicaContact{Recent: true, Ever: true}, start)
 	require.True(t, kept)
-	_, kept = relay.State{}.Keeps("w", relay.Contact{}, start)
+	_, kept = relay.State{}.Accept("w", relay.ReplicaContact{}, start)
 	require.True(t, kept, "a relay that has just started keeps whom replicas sent")
 }
 
 func TestHeartbeatsAreReportedTogether(t *testing.T) {
 	s := relay.State{}.WithHeartbeats(worker(2, "x"), worker(1, "x")).WithHeartbeats(worker(2, "x"))
-	require.True(t, s.Due(false, start))
-	s, workers := s.Take(start)
+	require.True(t, s.ReportDue(false, start))
+	s, workers := s.TakeReport(start)
 	require.Equal(t, []registry.Worker{worker(1, "x"), worker(2, "x")}, workers)
-	require.False(t, s.Due(false, start.Add(time.Hour)), "nothing to report")
+	require.False(t, s.ReportDue(false, start.Add(time.Hour)), "nothing to report")
 	s = s.WithHeartbeats(worker(3, "x"))
-	require.False(t, s.Due(false, start.Add(relay.Interval-1)))
-	require.True(t, s.Due(true, start), "a hub reports at once")
-	require.True(t, s.Due(false, start.Add(relay.Interval)))
+	require.False(t, s.ReportDue(false, start.Add(relay.ReportInterval-1)))
+	require.True(t, s.ReportDue(true, start), "a hub reports at once")
+	require.True(t, s.ReportDue(false, start.Add(relay.ReportInterval)))
 }
 
 func TestRelayTakesItsPartOfTheWorkers(t *testing.T) {
 	s := relay.State{}
 	for i := range 18 {
-		require.True(t, s.HasRoom(worker(i, "x").ID, 10, 10), "%d", i)
+		require.True(t, s.HasCapacity(worker(i, "x").ID, 10, 10), "%d", i)
 		s = s.WithHeartbeats(worker(i, "x"))
 	}
-	require.False(t, s.HasRoom("another", 10, 10))
-	require.True(t, s.HasRoom(worker(0, "x").ID, 10, 10), "one that it has taken already")
+	require.False(t, s.HasCapacity("another", 10, 10))
+	require.True(t, s.HasCapacity(worker(0, "x").ID, 10, 10), "one that it has taken already")
 }
--- a/core/requests/attempt.go
+++ b/core/requests/attempt.go
@@ -40,13 +40,13 @@
 	case outcome.Answered:
 		t.answered(c, r)
 	case outcome.NeverSent:
-		if r.Refused {
+		if r.ConnectRefused {
 			t.connectionRefused(c.target)
 		}
 		t.neverSent(c, r)
 	case outcome.Declined:
 		t.declined(c, r)
-	case outcome.Broken:
+	case outcome.Interrupted:
 		t.broken(c, r)
 	case outcome.Abandoned:
 		t.finish(c.req.ID, Verdict{Outcome: c.combined, Code: CodeCallerGone, Reason: "the caller left"})
@@ -107,7 +107,7 @@
 }
 
 // broken tries another worker where the request may run again.
-func (t *transition) broken(c call, r outcome.Broken) {
+func (t *transition) broken(c call, r outcome.Interrupted) {
 	c.sent++
 	t.attemptBroke(c, r)
 	v := Verdict{Outcome: c.combined, Code: CodeBroken, Reason: "the worker's answer broke off: " + r.Reason}
--- a/core/requests/attempt_test.go
+++ b/core/requests/attempt_test.go
@@ -36,8 +36,8 @@
 				outcome.NeverSent{},
 				outcome.Declined{},
 				outcome.Declined{Leaving: true},
-				outcome.Broken{},
-				outcome.Broken{Begun: true},
+				outcome.Interrupted{},
+				outcome.Interrupted{AnswerStarted: true},
 				outcome.Abandoned{Sent: true},
 			}).Draw(t, "result")
 			if outcome.Of(result) != outcome.NotRun {
--- a/core/requests/cachesource_test.go
+++ b/core/requests/cachesource_test.go
@@ -22,7 +22,7 @@
 // it keeps the prefix.
 func TestRetryTakesThePrefixFromTheEngineThatFailed(t *testing.T) {
 	for name, result := range map[string]outcome.Attempt{
-		"failed": outcome.Answered{Status: 500}, "declined": outcome.Declined{}, "broke off": outcome.Broken{},
+		"failed": outcome.Answered{Status: 500}, "declined": outcome.Declined{}, "broke off": outcome.Interrupted{},
 	} {
 		r := request("1", "/resumable/x")
 		r.Prompt = shared()
--- a/core/requests/choose.go
+++ b/core/requests/choose.go
@@ -138,11 +138,11 @@
 		switch usable := w.available(t.now) && t.reachable(w.Zone); {
 		case !t.takesCold(c.pool, w):
 			v.cold++
-		case usable && t.drained.Has(w.Zone) && t.isHandedOver(c, w.Zone):
+		case usable && t.drained.IsDrained(w.Zone) && t.isHandedOver(c, w.Zone):
 			v.draining = append(v.draining, one)
 		case usable:
 			v.available = append(v.available, one)
-		case w.maybeAlive() && !t.drained.Has(w.Zone):
+		case w.maybeAlive() && !t.drained.IsDrained(w.Zone):
 			v.maybeAlive = append(v.maybeAlive, one)
 		}
 	}
--- a/core/requests/crashes.go
+++ b/core/requests/crashes.go
@@ -40,7 +40,7 @@
 
 // AnsweredAt is when a request was last answered here; false where that is not known.
 func (s State) AnsweredAt(content crashes.Content, now time.Time) (time.Time, bool) {
-	return s.answers.At(content, now)
+	return s.answers.LastAnswered(content, now)
 }
 
 // isRefused tells whether the call is sent to no worker any more.
@@ -62,20 +62,20 @@
 
 // CrashReason tells callers why a request is refused.
 func CrashReason(c crashes.Content) string {
-	return fmt.Sprintf("%d workers in a row ended under requests of content %s", crashes.EndsToRefuse, c)
+	return fmt.Sprintf("%d workers in a row ended under requests of content %s", crashes.CrashesToRefuse, c)
 }
 
 // attemptBroke suspects an attempt that broke off, and asks for a connection that tells
 // whether its worker ended.
-func (t *transition) attemptBroke(c call, r outcome.Broken) {
+func (t *transition) attemptBroke(c call, r outcome.Interrupted) {
 	w, known := t.workers.Get(c.target)
 	isPlanned := w.leaving() || w.State == registry.Gone
-	if c.content == "" || r.Silent || !known || isPlanned || !t.reachable(w.Zone) {
+	if c.content == "" || r.TimedOut || !known || isPlanned || !t.reachable(w.Zone) {
 		return
 	}
-	asked := t.observer.Asked(c.target, c.life, t.now)
-	t.observer = t.observer.WithSuspect(crashes.Suspect{Content: c.content, Life: c.life, Crash: crashes.Crash{
-		Attempt: fmt.Sprintf("%s/%d", c.req.ID, c.attempt), Worker: c.target, SentAt: c.sentAt, EndedAt: t.now, Begun: r.Begun,
+	asked := t.observer.ProbeRequested(c.target, c.life, t.now)
+	t.observer = t.observer.WithSuspect(crashes.Suspect{Content: c.content, Boot: c.life, Crash: crashes.Crash{
+		Attempt: fmt.Sprintf("%s/%d", c.req.ID, c.attempt), Worker: c.target, SentAt: c.sentAt, EndedAt: t.now, AnswerStarted: r.AnswerStarted,
 	}}, t.now)
 	switch {
 	case w.life != c.life || w.succeeded():
@@ -87,7 +87,7 @@
 
 // processEnded takes the proof that a worker's process ended.
 func (t *transition) processEnded(id ident.Target, life uint64) {
-	next, n := t.observer.WithEnd(id, life, t.now)
+	next, n := t.observer.WithProcessExit(id, life, t.now)
 	t.observer = next
 	if n > 0 {
 		t.out = append(t.out, WorkerEnded{Worker: id, Requests: n})
@@ -105,7 +105,7 @@
 // answeredAfterAll takes an answer: the worker's process lives, and if workers had ended under
 // the request, it does not end all that run it.
 func (t *transition) answeredAfterAll(c call, r outcome.Answered) {
-	t.observer = t.observer.WithLife(c.target, c.life, c.sentAt)
+	t.observer = t.observer.WithProcessAlive(c.target, c.life, c.sentAt)
 	if r.Status < serverError {
 		t.answers = t.answers.With(c.content, t.now)
 		t.crashList = t.crashList.WithAnswer(c.content, t.now)
--- a/core/requests/crashes_test.go
+++ b/core/requests/crashes_test.go
@@ -27,7 +27,7 @@
 
 // refusing returns a gateway that holds three ends against a request.
 func refusing(s requests.State, path string) requests.State {
-	return s.WithCrashList(crashes.List{}.With(start, crashes.Entry{Content: contentOf(path), Ends: 3, At: start}))
+	return s.WithCrashList(crashes.List{}.With(start, crashes.Entry{Content: contentOf(path), Crashes: 3, At: start}))
 }
 
 func reduce(s requests.State, ev requests.Event, now time.Time) (requests.State, []requests.Decision) {
@@ -45,7 +45,7 @@
 }
 
 // brokenAt sends a request that must not run twice and breaks it off at its worker.
-func brokenAt(t *testing.T, s requests.State, result outcome.Broken, now time.Time) (requests.State, requests.Dispatch, int) {
+func brokenAt(t *testing.T, s requests.State, result outcome.Interrupted, now time.Time) (requests.State, requests.Dispatch, int) {
 	t.Helper()
 	s, d := arrive(t, s, known("1", "/unsafe/bad"), now)
 	sent := d.(requests.Dispatch)
@@ -83,10 +83,10 @@
 			return requests.ProbeEnded{Worker: d.Worker.ID}
 		}, false},
 	} {
-		s, sent, asked := brokenAt(t, bornReady(1), outcome.Broken{Reason: "unexpected EOF"}, start)
+		s, sent, asked := brokenAt(t, bornReady(1), outcome.Interrupted{Reason: "unexpected EOF"}, start)
 		require.Equal(t, 1, asked, name)
 		s, _ = reduce(s, c.proof(s, sent), later)
-		reports := s.Crashes().Lately(later)
+		reports := s.Crashes().Recent(later)
 		if !c.crash {
 			require.Empty(t, reports, name)
 			continue
@@ -95,20 +95,20 @@
 		require.Equal(t, contentOf("/unsafe/bad"), reports[0].Content)
 		want := crashes.Crash{Attempt: "1/1", Worker: sent.Worker.ID, SentAt: start, EndedAt: start.Add(time.Second)}
 		require.Equal(t, want, reports[0].Crash, name)
-		require.Empty(t, s.Crashes().Lately(later.Add(time.Minute)), "it is not reported for ever")
+		require.Empty(t, s.Crashes().Recent(later.Add(time.Minute)), "it is not reported for ever")
 	}
 
 	// Something between takes connections for a worker that has ended; then its next process
 	// is the proof, unless the one before has answered since.
 	for _, answers := range []bool{false, true} {
-		s, sent, _ := brokenAt(t, bornReady(1), outcome.Broken{Reason: "unexpected EOF"}, start)
+		s, sent, _ := brokenAt(t, bornReady(1), outcome.Interrupted{Reason: "unexpected EOF"}, start)
 		s, _ = reduce(s, requests.ProbeEnded{Worker: sent.Worker.ID, OK: true}, later)
 		if answers {
 			s, _ = arrive(t, s, known("2", "/unsafe/other"), later)
 			s, _ = reduce(s, requests.AttemptEnded{Request: "2", Attempt: 1, Result: outcome.Answered{Status: 200}, Wanted: true}, later)
 		}
 		s, _ = reduce(s, again(sent), later)
-		require.Equal(t, !answers, len(s.Crashes().Lately(later)) == 1)
+		require.Equal(t, !answers, len(s.Crashes().Recent(later)) == 1)
 	}
 }
 
@@ -121,13 +121,13 @@
 	}
 	for i := range 20 {
 		var decisions []requests.Decision
-		s, decisions = reduce(s, requests.AttemptEnded{Request: ident.Request(fmt.Sprint(i)), Attempt: 1, Result: outcome.Broken{}, Wanted: true}, start)
+		s, decisions = reduce(s, requests.AttemptEnded{Request: ident.Request(fmt.Sprint(i)), Attempt: 1, Result: outcome.Interrupted{}, Wanted: true}, start)
 		asked += probes(decisions)
 	}
 	require.Equal(t, 1, asked)
 	s, d := arrive(t, s, known("next", "/unsafe/next"), start)
-	s, _ = reduce(s, requests.AttemptEnded{Request: "next", Attempt: d.(requests.Dispatch).Attempt, Result: outcome.NeverSent{Refused: true}, Wanted: true}, start)
-	require.Len(t, s.Crashes().Lately(start), 20)
+	s, _ = reduce(s, requests.AttemptEnded{Request: "next", Attempt: d.(requests.Dispatch).Attempt, Result: outcome.NeverSent{ConnectRefused: true}, Wanted: true}, start)
+	require.Len(t, s.Crashes().Recent(start), 20)
 }
 
 // TestWhatShowsNoCrash breaks attempts off where a worker ends as planned, where nothing came
@@ -135,24 +135,24 @@
 func TestWhatShowsNoCrash(t *testing.T) {
 	refuse := func(s requests.State, d requests.Dispatch, now time.Time) []crashes.Report {
 		s, _ = reduce(s, requests.ProbeEnded{Worker: d.Worker.ID, Refused: true}, now)
-		return s.Crashes().Lately(now)
+		return s.Crashes().Recent(now)
 	}
-	s, d, asked := brokenAt(t, bornReady(1), outcome.Broken{Silent: true}, start)
+	s, d, asked := brokenAt(t, bornReady(1), outcome.Interrupted{TimedOut: true}, start)
 	require.Zero(t, asked)
 	require.Empty(t, refuse(s, d, start.Add(time.Second)))
 
-	s, d, _ = brokenAt(t, bornReady(1), outcome.Broken{}, start)
+	s, d, _ = brokenAt(t, bornReady(1), outcome.Interrupted{}, start)
 	require.Empty(t, refuse(s, d, start.Add(time.Minute)), "it may have ended for any other reason since")
 
 	s, first := arrive(t, bornReady(1), known("1", "/unsafe/bad"), start)
 	leaving := first.(requests.Dispatch).Worker
 	leaving.State, leaving.Seq = registry.Draining, leaving.Seq+1
 	s, _ = register(s, leaving, start)
-	s, _ = reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Broken{}, Wanted: true}, start)
+	s, _ = reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Interrupted{}, Wanted: true}, start)
 	require.Empty(t, refuse(s, first.(requests.Dispatch), start))
 
 	s, first = arrive(t, bornReady(1), request("1", "/unsafe/bad"), start)
-	s, decisions := reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Broken{}, Wanted: true}, start)
+	s, decisions := reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Interrupted{}, Wanted: true}, start)
 	require.Zero(t, probes(decisions))
 	require.Empty(t, refuse(s, first.(requests.Dispatch), start))
 }
@@ -187,8 +187,8 @@
 		code   requests.Code
 		kind   outcome.Kind
 	}{
-		"broken":     {outcome.Broken{Reason: "unexpected EOF"}, requests.CodeBroken, outcome.Unknown},
-		"never sent": {outcome.NeverSent{Reason: "refused", Refused: true}, requests.CodeCrashes, outcome.NotRun},
+		"broken":     {outcome.Interrupted{Reason: "unexpected EOF"}, requests.CodeBroken, outcome.Unknown},
+		"never sent": {outcome.NeverSent{Reason: "refused", ConnectRefused: true}, requests.CodeCrashes, outcome.NotRun},
 		"declined":   {outcome.Declined{Reason: "full"}, requests.CodeOverloaded, outcome.NotRun},
 		"failed":     {outcome.Answered{Status: 500}, requests.CodeOK, outcome.Ran},
 	} {
@@ -217,13 +217,13 @@
 func TestAnswerClearsARequest(t *testing.T) {
 	for _, ends := range []int{2, 3} {
 		s, _ := arrive(t, bornReady(1), known("1", "/unsafe/x"), start)
-		s = s.WithCrashList(crashes.List{}.With(start, crashes.Entry{Content: contentOf("/unsafe/x"), Ends: ends, At: start}))
+		s = s.WithCrashList(crashes.List{}.With(start, crashes.Entry{Content: contentOf("/unsafe/x"), Crashes: ends, At: start}))
 		failed, _ := reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Answered{Status: 500}, Wanted: true}, start.Add(2*time.Second))
 		e, _ := failed.CrashList().Get(contentOf("/unsafe/x"))
-		require.Equal(t, ends, e.Ends, "a failure shows nothing")
+		require.Equal(t, ends, e.Crashes, "a failure shows nothing")
 		s, _ = reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Answered{Status: 200}, Wanted: true}, start.Add(2*time.Second))
 		e, _ = s.CrashList().Get(contentOf("/unsafe/x"))
-		require.Zero(t, e.Ends)
+		require.Zero(t, e.Crashes)
 		_, d := arrive(t, s, known("2", "/unsafe/x"), start.Add(2*time.Second))
 		require.IsType(t, requests.Dispatch{}, d)
 	}
--- a/core/requests/dispatch.go
+++ b/core/requests/dispatch.go
@@ -99,7 +99,7 @@
 		Number: t.number, Mean: picked.mean, Choice: picked.position, Candidates: picked.candidates,
 		Load: t.load(picked.worker, t.now), ConfigAge: neverConfirmed,
 	}
-	if !t.confirmed.Never() {
+	if !t.confirmed.IsZero() {
 		in.ConfigAge = t.confirmed.Age(t.now)
 	}
 	if _, asOf := t.othersLoad(picked.worker); !asOf.IsZero() {
--- a/core/requests/drained.go
+++ b/core/requests/drained.go
@@ -50,9 +50,9 @@
 // WithDrained returns the state of a host that has learned which zones are drained.
 func (s State) WithDrained(d zones.Drained) State {
 	from := s.confirmed.AsOf.Add(s.settings.ZoneDrain - drainMargin)
-	for _, o := range d.Since(s.drained.Revision) {
+	for _, o := range d.OrdersSince(s.drained.Revision) {
 		s.drainedFrom = s.drainedFrom.Without(o.Zone)
-		if o.Drained && !s.confirmed.Never() {
+		if o.Drained && !s.confirmed.IsZero() {
 			s.drainedFrom = s.drainedFrom.With(o.Zone, from)
 		}
 	}
@@ -65,7 +65,7 @@
 
 // closed tells whether nothing at all is sent to a zone any more.
 func (t *transition) closed(zone ident.Zone) bool {
-	if !t.drained.Has(zone) {
+	if !t.drained.IsDrained(zone) {
 		return false
 	}
 	from, _ := t.drainedFrom.Get(zone)
@@ -100,7 +100,7 @@
 		return false
 	}
 	for _, w := range t.workers.All() {
-		if w.Pool == c.pool.ID && w.State == registry.Ready && t.drained.Has(w.Zone) {
+		if w.Pool == c.pool.ID && w.State == registry.Ready && t.drained.IsDrained(w.Zone) {
 			return true
 		}
 	}
--- a/core/requests/drained_test.go
+++ b/core/requests/drained_test.go
@@ -20,7 +20,7 @@
 func drain(names ...ident.Zone) zones.Drained {
 	var d zones.Drained
 	for _, z := range names {
-		d, _ = d.With(zones.Change{Zone: z, Drained: true})
+		d, _ = d.Apply(zones.Change{Zone: z, Drained: true})
 	}
 	return d
 }
@@ -76,7 +76,7 @@
 func TestNothingNewGoesToADrainedZone(t *testing.T) {
 	ends := map[string]outcome.Attempt{
 		"declined": outcome.Declined{Reason: "full"}, "never sent": outcome.NeverSent{Reason: "refused"},
-		"broken": outcome.Broken{Reason: "reset"}, "failed": outcome.Answered{Status: 500},
+		"broken": outcome.Interrupted{Reason: "reset"}, "failed": outcome.Answered{Status: 500},
 	}
 	for name, end := range ends {
 		for _, path := range []string{"/safe/x", "/unsafe/x", "/once/x", "/resumable/x"} {
@@ -140,7 +140,7 @@
 		require.Equal(t, outcome.NotRun, f.Verdict.Outcome)
 		require.Positive(t, f.Verdict.RetryAfter)
 	}
-	taken, _ := drain("za", "zb", "zc").With(zones.Change{Zone: "zb", Seen: 2})
+	taken, _ := drain("za", "zb", "zc").Apply(zones.Change{Zone: "zb", Seen: 2})
 	_, d = arrive(t, s.WithDrained(taken), request("again", "/unsafe/x"), closed)
 	require.Equal(t, ident.Zone("zb"), d.(requests.Dispatch).Worker.Zone)
 }
--- a/core/requests/fleet_test.go
+++ b/core/requests/fleet_test.go
@@ -327,7 +327,7 @@
 		delay := f.load.reportAge + time.Duration(i%steps)*simStep
 		for _, r := range f.reports {
 			if age := f.now.Sub(r.asOf); age >= delay && age < delay+simStep {
-				f.feed(i, requests.LoadsReported{Loads: r.total.Without(r.own[i]), AsOf: r.asOf})
+				f.feed(i, requests.LoadsReported{Loads: r.total.Subtract(r.own[i]), AsOf: r.asOf})
 				f.feed(i, requests.Registered{From: "r", Workers: r.silent})
 			}
 		}
--- a/core/requests/notice_test.go
+++ b/core/requests/notice_test.go
@@ -160,7 +160,7 @@
 // nothing. The caller comes back before they want something, as the worker that failed may take
 // the request by then.
 func TestRequestGoesToNoOtherWorkerThatBacksOff(t *testing.T) {
-	results := []outcome.Attempt{outcome.Declined{Reason: "full"}, outcome.NeverSent{Reason: "refused", Refused: true}}
+	results := []outcome.Attempt{outcome.Declined{Reason: "full"}, outcome.NeverSent{Reason: "refused", ConnectRefused: true}}
 	for _, result := range results {
 		s := ready(3)
 		for n := range 2 {
@@ -207,7 +207,7 @@
 func TestWorkerThatSaysItLeavesGetsNothingNew(t *testing.T) {
 	ends := map[string]outcome.Attempt{
 		"declined": outcome.Declined{Reason: "full"}, "never sent": outcome.NeverSent{Reason: "refused"},
-		"broken": outcome.Broken{Reason: "reset"}, "failed": outcome.Answered{Status: 500}, "answered": outcome.Answered{Status: 200},
+		"broken": outcome.Interrupted{Reason: "reset"}, "failed": outcome.Answered{Status: 500}, "answered": outcome.Answered{Status: 200},
 	}
 	for name, end := range ends {
 		for _, path := range []string{"/safe/x", "/unsafe/x", "/once/x", "/resumable/x"} {
--- a/core/requests/plainfleet_test.go
+++ b/core/requests/plainfleet_test.go
@@ -139,7 +139,7 @@
 	for _, r := range f.reports {
 		if age := f.now.Sub(r.asOf); age >= plainAge && age < plainAge+plainStep {
 			for i := range f.hosts {
-				f.feed(i, requests.LoadsReported{Loads: r.total.Without(r.own[i]), AsOf: r.asOf})
+				f.feed(i, requests.LoadsReported{Loads: r.total.Subtract(r.own[i]), AsOf: r.asOf})
 			}
 		}
 	}
@@ -212,7 +212,7 @@
 		f.running[w], f.queued[w] = nil, nil
 		for _, j := range lost {
 			f.feed(j.host, requests.AttemptEnded{
-				Request: j.request.ID, Attempt: j.attempt, Result: outcome.NeverSent{Reason: "connection refused", Refused: true}, Wanted: true,
+				Request: j.request.ID, Attempt: j.attempt, Result: outcome.NeverSent{Reason: "connection refused", ConnectRefused: true}, Wanted: true,
 			})
 		}
 		return
--- a/core/requests/requests.go
+++ b/core/requests/requests.go
@@ -128,7 +128,7 @@
 	observer  crashes.Observer
 	crashList crashes.List
 	// answers are the requests that were answered here lately.
-	answers crashes.Answers
+	answers crashes.RecentAnswers
 	calls   table.Table[ident.Request, call]
 	budgets table.Table[ident.Service, budget]
 	// headerTimes are how long answers take to begin, by route.
@@ -273,7 +273,7 @@
 	case LoadsReported:
 		t.loadsReported(ev)
 	case Confirmed:
-		t.confirmed = t.confirmed.Newest(ev.Confirmation)
+		t.confirmed = t.confirmed.Latest(ev.Confirmation)
 	case ProbeEnded:
 		t.probeEnded(ev)
 	case Withdrawn:
--- a/core/requests/restart_test.go
+++ b/core/requests/restart_test.go
@@ -66,7 +66,7 @@
 		require.Equal(t, requests.BreakOff{Request: "1", Attempt: first.Attempt}, only(t, decisions))
 		require.Zero(t, countIn(s.Loads(start)), "the new process has none of it")
 		s, decisions = requests.Reduce(s, requests.AttemptEnded{
-			Request: "1", Attempt: first.Attempt, Result: outcome.Broken{Silent: true}, Wanted: true,
+			Request: "1", Attempt: first.Attempt, Result: outcome.Interrupted{TimedOut: true}, Wanted: true,
 		}, start)
 		switch next := only(t, decisions).(type) {
 		case requests.Dispatch:
@@ -87,7 +87,7 @@
 // and report a full queue: its next process starts without any of it.
 func TestBeliefsEndWithTheProcess(t *testing.T) {
 	for name, result := range map[string]outcome.Attempt{
-		"silent": outcome.NeverSent{Silent: true}, "replaced": outcome.Declined{Leaving: true}, "declined": outcome.Declined{},
+		"silent": outcome.NeverSent{ConnectTimedOut: true}, "replaced": outcome.Declined{Leaving: true}, "declined": outcome.Declined{},
 	} {
 		s, d := arrive(t, bornReady(1), request("1", "/unsafe/x"), start)
 		first := d.(requests.Dispatch)
--- a/core/requests/timeouts_test.go
+++ b/core/requests/timeouts_test.go
@@ -59,7 +59,7 @@
 			continue
 		}
 		require.Equal(t, requests.GiveUp{Request: sent.Request}, only(t, decisions))
-		next, decisions = requests.Reduce(s, requests.AttemptEnded{Request: sent.Request, Attempt: 1, Result: outcome.Broken{Silent: true}, Wanted: true}, start)
+		next, decisions = requests.Reduce(s, requests.AttemptEnded{Request: sent.Request, Attempt: 1, Result: outcome.Interrupted{TimedOut: true}, Wanted: true}, start)
 		s = next
 		again, ok := only(t, decisions).(requests.Dispatch)
 		require.True(t, ok, "request %d was given up with no other worker to go to", i)
--- a/core/requests/worker_test.go
+++ b/core/requests/worker_test.go
@@ -48,7 +48,7 @@
 		var d requests.Decision
 		s, d = arrive(t, s, request(id, "/unsafe/x"), start)
 		s, _ = requests.Reduce(s, requests.AttemptEnded{
-			Request: ident.Request(id), Attempt: d.(requests.Dispatch).Attempt, Result: outcome.Broken{}, Wanted: true,
+			Request: ident.Request(id), Attempt: d.(requests.Dispatch).Attempt, Result: outcome.Interrupted{}, Wanted: true,
 		}, start)
 	}
 	_, d := arrive(t, s, request("last", "/safe/x"), start)
--- a/core/requests/workerhealth.go
+++ b/core/requests/workerhealth.go
@@ -53,7 +53,7 @@
 		w.declinedAt, w.fullUntil = now, latest(w.fullUntil, now.Add(fullPause))
 	case outcome.NeverSent:
 		w.health = w.health.WithUnreachable(now)
-	case outcome.Broken:
+	case outcome.Interrupted:
 		w.health = w.health.WithResult(false, now)
 	case outcome.Abandoned:
 	}
@@ -64,9 +64,9 @@
 func isSilence(a outcome.Attempt) bool {
 	switch a := a.(type) {
 	case outcome.NeverSent:
-		return a.Silent
-	case outcome.Broken:
-		return a.Silent
+		return a.ConnectTimedOut
+	case outcome.Interrupted:
+		return a.TimedOut
 	}
 	return false
 }
@@ -87,7 +87,7 @@
 		return a.Reason
 	case outcome.Declined:
 		return a.Reason
-	case outcome.Broken:
+	case outcome.Interrupted:
 		return a.Reason
 	}
 	return "an answer"
--- a/core/requests/zones_test.go
+++ b/core/requests/zones_test.go
@@ -95,9 +95,9 @@
 // silence is how a try ends in a zone that is cut off.
 func (h *zonedHost) silence() outcome.Attempt {
 	if h.kept {
-		return outcome.Broken{Reason: "i/o timeout", Silent: true}
+		return outcome.Interrupted{Reason: "i/o timeout", TimedOut: true}
 	}
-	return outcome.NeverSent{Reason: "i/o timeout", Silent: true}
+	return outcome.NeverSent{Reason: "i/o timeout", ConnectTimedOut: true}
 }
 
 // TestZoneThatIsCutOffIsLeftAtOnce cuts a zone of thirty workers off: a few requests
@@ -155,7 +155,7 @@
 		d := h.ask()
 		var result outcome.Attempt = outcome.Answered{Status: 200}
 		if dark[d.Worker.ID] {
-			result = outcome.NeverSent{Reason: "i/o timeout", Silent: true}
+			result = outcome.NeverSent{Reason: "i/o timeout", ConnectTimedOut: true}
 		} else if h.zones[d.Worker.ID] == "y" {
 			others++
 		}
--- a/core/routing/bound.go
+++ b/core/routing/bound.go
@@ -35,19 +35,19 @@
 	idleMean = 8
 )
 
-// Bound is the rule that no engine carries more than a multiple of the mean.
-type Bound struct {
-	// Multiple is the operators' setting; 0 is no bound.
-	Multiple float64
-	// Others are the other groups of the service, from their owners' reports.
-	Others []GroupLoad
+// LoadBound is the rule that no engine carries more than a multiple of the mean.
+type LoadBound struct {
+	// LoadFactor is the operators' setting; 0 is no bound.
+	LoadFactor float64
+	// OtherGroups are the other groups of the service, from their owners' reports.
+	OtherGroups []GroupLoad
 }
 
 // mean is the load of an engine if the service's load were spread evenly, the present
 // request included.
-func (g Group) mean(b Bound) float64 {
-	load, engines := g.total+1, g.Usable()
-	for _, o := range b.Others {
+func (g Group) mean(b LoadBound) float64 {
+	load, engines := g.total+1, g.UsableTargets()
+	for _, o := range b.OtherGroups {
 		load += o.Load
 		engines += o.Usable
 	}
@@ -59,13 +59,13 @@
 
 // limit is the load that an engine may have after a placement that uses a share of the
 // room between mean and bound.
-func limit(b Bound, mean, share float64) int {
-	if b.Multiple == 0 {
+func limit(b LoadBound, mean, share float64) int {
+	if b.LoadFactor == 0 {
 		return math.MaxInt
 	}
-	most := int(mean * (1 + (b.Multiple-1)*share))
+	most := int(mean * (1 + (b.LoadFactor-1)*share))
 	if share > 0 && mean < idleMean {
-		most = int(math.Ceil(mean * b.Multiple))
+		most = int(math.Ceil(mean * b.LoadFactor))
 	}
 	return max(1, int(math.Ceil(mean)), most)
 }
--- a/core/routing/directory.go
+++ b/core/routing/directory.go
@@ -11,8 +11,8 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// DefaultChats bounds the chats that one group remembers. Chosen, not measured.
-const DefaultChats = 32 << 10
+// DefaultMaxChats bounds the chats that one group remembers. Chosen, not measured.
+const DefaultMaxChats = 32 << 10
 
 // ChatLocation is where a chat was served last.
 type ChatLocation struct {
@@ -26,8 +26,8 @@
 // and when the young one is full it becomes the old one. Each entry thus
 // survives at least half the bound of other chats. The zero value is empty.
 type Directory struct {
-	// Bound is the most chats kept; DefaultChats where 0.
-	Bound      int
+	// MaxChats is the most chats kept; DefaultChats where 0.
+	MaxChats   int
 	young, old *immutable.Map[hash.Key, ChatLocation]
 }
 
@@ -59,8 +59,8 @@
 	if k == 0 {
 		return d
 	}
-	bound := d.Bound
-	bound = cmp.Or(bound, DefaultChats)
+	bound := d.MaxChats
+	bound = cmp.Or(bound, DefaultMaxChats)
 	if d.young == nil || d.young.Len() >= bound/2 {
 		d.old = d.young
 		d.young = immutable.NewMap[hash.Key, ChatLocation](keyHasher{})
@@ -99,22 +99,22 @@
 	return out
 }
 
-// WithChatBound returns the group remembering at most n chats; 0 is the
+// WithChatLimit returns the group remembering at most n chats; 0 is the
 // default.
-func (g Group) WithChatBound(n int) Group {
-	g.directory.Bound = n
+func (g Group) WithChatLimit(n int) Group {
+	g.directory.MaxChats = n
 	return g
 }
 
 // WithDirectory returns the group with what a backup remembers of its chats.
 func (g Group) WithDirectory(d Directory) Group {
-	d.Bound = g.directory.Bound
+	d.MaxChats = g.directory.MaxChats
 	g.directory = d
 	return g
 }
 
-// ChatList lists the chats remembered, to hand them to another owner.
-func (g Group) ChatList() []Chat { return g.directory.Chats() }
+// Chats lists the chats remembered, to hand them to another owner.
+func (g Group) Chats() []Chat { return g.directory.Chats() }
 
 // AdoptChats takes over what an earlier owner remembered. What is known here
 // already is newer and stays.
--- a/core/routing/group.go
+++ b/core/routing/group.go
@@ -43,8 +43,8 @@
 // Compare orders group ids.
 func (g GroupID) Compare(o GroupID) int { return strings.Compare(g.String(), o.String()) }
 
-// Engine is what an owner knows of one target of its group.
-type Engine struct {
+// Target is what an owner knows of one target of its group.
+type Target struct {
 	ID     ident.Target
 	Slots  int
 	Models []ident.Model
@@ -67,15 +67,15 @@
 }
 
 // Load is the requests in flight on the engine, ours and others'.
-func (e Engine) Load() int { return e.Mine + e.Foreign }
+func (e Target) Load() int { return e.Mine + e.Foreign }
 
-func (e Engine) serves(m ident.Model) bool { return m == "" || slices.Contains(e.Models, m) }
+func (e Target) serves(m ident.Model) bool { return m == "" || slices.Contains(e.Models, m) }
 
 // reportWindow is how late a load report may be. Chosen, not measured: two reports.
 const reportWindow = 4 * time.Second
 
 // withMine returns e with n more permits.
-func (e Engine) withMine(n int, work int64, now time.Time) Engine {
+func (e Target) withMine(n int, work int64, now time.Time) Target {
 	if now.Sub(e.window) > reportWindow {
 		e.lastPeak, e.peak, e.window = e.peak, e.Mine, now
 	}
@@ -89,12 +89,12 @@
 // is a group without engines.
 type Group struct {
 	ID GroupID
-	// Taken is when this owner took the group up.
-	Taken     time.Time
-	engines   []Engine
-	permits   table.Table[ident.PermitID, Permit]
-	accounts  table.Table[ident.Account, int]
-	directory Directory
+	// OwnedSince is when this owner took the group up.
+	OwnedSince time.Time
+	engines    []Target
+	permits    table.Table[ident.PermitID, Permit]
+	accounts   table.Table[ident.Account, int]
+	directory  Directory
 	// moved are chats placed anew since TakeMoved, for the group's backup.
 	moved         []Chat
 	queue         queue
@@ -104,43 +104,43 @@
 }
 
 // NewGroup returns an empty group, taken up at now.
-func NewGroup(id GroupID, now time.Time) Group { return Group{ID: id, Taken: now} }
+func NewGroup(id GroupID, now time.Time) Group { return Group{ID: id, OwnedSince: now} }
 
-// Engines returns the group's engines in id order; the caller must not change
+// Targets returns the group's engines in id order; the caller must not change
 // them.
-func (g Group) Engines() []Engine { return g.engines }
+func (g Group) Targets() []Target { return g.engines }
 
-// Total is the load of all usable engines.
-func (g Group) Total() int { return g.total }
+// TotalLoad is the load of all usable engines.
+func (g Group) TotalLoad() int { return g.total }
 
-// Usable counts the usable engines.
-func (g Group) Usable() int { return g.usable }
+// UsableTargets counts the usable engines.
+func (g Group) UsableTargets() int { return g.usable }
 
-// Waiting counts the requests in the queue.
-func (g Group) Waiting() int { return g.queue.len() }
+// QueueLength counts the requests in the queue.
+func (g Group) QueueLength() int { return g.queue.len() }
 
-// Permits counts the permits out.
-func (g Group) Permits() int { return g.permits.Len() }
+// PermitCount counts the permits out.
+func (g Group) PermitCount() int { return g.permits.Len() }
 
-// Chats counts the chats remembered.
-func (g Group) Chats() int { return g.directory.Len() }
+// ChatCount counts the chats remembered.
+func (g Group) ChatCount() int { return g.directory.Len() }
 
-// Spec is what the configuration and the health of a target say of it.
-type Spec struct {
+// TargetSpec is what the configuration and the health of a target say of it.
+type TargetSpec struct {
 	ID     ident.Target
 	Slots  int
 	Models []ident.Model
 	Usable bool
 }
 
-// WithEngines returns the group with its set of engines replaced. Known ones
+// WithTargets returns the group with its set of engines replaced. Known ones
 // keep their load; permits on engines that are gone stay until released.
-func (g Group) WithEngines(specs []Spec, now time.Time) Group {
-	engines := make([]Engine, 0, len(specs))
+func (g Group) WithTargets(specs []TargetSpec, now time.Time) Group {
+	engines := make([]Target, 0, len(specs))
 	// Where no engine was usable before, there is none to spare the new ones.
-	warm := g.Usable() > 0
+	warm := g.UsableTargets() > 0
 	for _, s := range specs {
-		e := Engine{ID: s.ID, window: now, key: hash.Of(string(s.ID))}
+		e := Target{ID: s.ID, window: now, key: hash.Of(string(s.ID))}
 		if i := g.index(s.ID); i >= 0 {
 			e = g.engines[i]
 		} else {
@@ -152,13 +152,13 @@
 		e.Slots, e.Models, e.Usable = s.Slots, s.Models, s.Usable
 		engines = append(engines, e)
 	}
-	slices.SortFunc(engines, func(a, b Engine) int { return strings.Compare(string(a.ID), string(b.ID)) })
+	slices.SortFunc(engines, func(a, b Target) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	g.engines = engines
 	return g.retotal()
 }
 
 // withPermitsOf counts the permits already out on a target that joins.
-func (g Group) withPermitsOf(e Engine) Engine {
+func (g Group) withPermitsOf(e Target) Target {
 	for _, p := range g.permits.All() {
 		if p.Target == e.ID {
 			e.Mine++
@@ -181,7 +181,7 @@
 }
 
 func (g Group) index(id ident.Target) int {
-	i, ok := slices.BinarySearchFunc(g.engines, id, func(e Engine, id ident.Target) int {
+	i, ok := slices.BinarySearchFunc(g.engines, id, func(e Target, id ident.Target) int {
 		return strings.Compare(string(e.ID), string(id))
 	})
 	if !ok {
@@ -190,7 +190,7 @@
 	return i
 }
 
-func (g Group) withEngine(i int, e Engine) Group {
+func (g Group) withEngine(i int, e Target) Group {
 	g.engines = slices.Clone(g.engines)
 	if e.Usable {
 		g.total += e.Load() - g.engines[i].Load()
@@ -220,8 +220,8 @@
 	return g
 }
 
-// TakeMoved returns the chats placed anew since the last call.
-func (g Group) TakeMoved() (Group, []Chat) {
+// TakePlacements returns the chats placed anew since the last call.
+func (g Group) TakePlacements() (Group, []Chat) {
 	moved := g.moved
 	g.moved = nil
 	return g, moved
--- a/core/routing/permits.go
+++ b/core/routing/permits.go
@@ -71,8 +71,8 @@
 
 // Grant is a place given to a request.
 type Grant struct {
-	Ask    PermitRequest
-	Target ident.Target
+	Request PermitRequest
+	Target  ident.Target
 	// Known is true where the chat was remembered on that engine.
 	Known bool
 }
@@ -80,19 +80,19 @@
 // Answer returns the grant as the reply to its router.
 func (g Grant) Answer() Granted { return Granted{Target: g.Target, Known: g.Known} }
 
-// Holds tells whether a place is given or asked for here.
-func (g Group) Holds(place ident.PermitID) bool {
+// HasRequest tells whether a place is given or asked for here.
+func (g Group) HasRequest(place ident.PermitID) bool {
 	return g.permits.Has(place) || g.queue.index.Has(place)
 }
 
 // Release frees a place, or takes its request out of the queue, and serves the queue.
-func (g Group) Release(place ident.PermitID, b Bound, now time.Time) (Group, []Grant) {
+func (g Group) Release(place ident.PermitID, b LoadBound, now time.Time) (Group, []Grant) {
 	if p, ok := g.permits.Get(place); ok {
 		g = g.withoutPermit(p, now)
 	} else {
 		g.queue = g.queue.without(place)
 	}
-	return g.Serve(b, now)
+	return g.ServeQueue(b, now)
 }
 
 // DropRouter frees all places held by a router that is gone or has restarted;
@@ -120,8 +120,8 @@
 	return g, late
 }
 
-// Serve gives free places to waiting requests, best first.
-func (g Group) Serve(b Bound, now time.Time) (Group, []Grant) {
+// ServeQueue gives free places to waiting requests, best first.
+func (g Group) ServeQueue(b LoadBound, now time.Time) (Group, []Grant) {
 	var grants []Grant
 	var full []ident.Model
 	for {
@@ -147,7 +147,7 @@
 		Place: req.Permit, Target: target, Account: req.Account, Key: req.Key, Work: req.Work,
 		Router: req.Router, Incarnation: req.Incarnation, Until: req.Deadline.Add(permitGrace),
 	}, now)
-	return g, Grant{Ask: req, Target: target, Known: known}
+	return g, Grant{Request: req, Target: target, Known: known}
 }
 
 // permitGrace is how long a permit outlives its request's deadline. Chosen, not measured.
--- a/core/routing/place.go
+++ b/core/routing/place.go
@@ -31,8 +31,8 @@
 	minSlowStart = 0.2
 )
 
-// Request places a request, queues it, sends it elsewhere or refuses it.
-func (g Group) Request(req PermitRequest, b Bound, now time.Time) (Group, Answer) {
+// RequestPermit places a request, queues it, sends it elsewhere or refuses it.
+func (g Group) RequestPermit(req PermitRequest, b LoadBound, now time.Time) (Group, Answer) {
 	if answer, ok := g.answered(req.Permit); ok {
 		return g, answer
 	}
@@ -66,15 +66,15 @@
 
 // worthSendingBack tells whether a chat that was sent to another group may go there
 // again: not where that one is the fuller by now.
-func (g Group) worthSendingBack(b Bound, id GroupID) bool {
-	most := g.mean(b) * (1 + (b.Multiple-1)*sendBackShare)
-	return slices.ContainsFunc(b.Others, func(l GroupLoad) bool {
-		return l.Group == id && l.Usable > 0 && (b.Multiple == 0 || float64(l.Load) <= most*float64(l.Usable))
+func (g Group) worthSendingBack(b LoadBound, id GroupID) bool {
+	most := g.mean(b) * (1 + (b.LoadFactor-1)*sendBackShare)
+	return slices.ContainsFunc(b.OtherGroups, func(l GroupLoad) bool {
+		return l.Group == id && l.Usable > 0 && (b.LoadFactor == 0 || float64(l.Load) <= most*float64(l.Usable))
 	})
 }
 
 // unplaced finds what to do with a request that no engine here may take.
-func (g Group) unplaced(req PermitRequest, b Bound, now time.Time) (Group, Answer) {
+func (g Group) unplaced(req PermitRequest, b LoadBound, now time.Time) (Group, Answer) {
 	if !req.Final {
 		if to, ok := g.lighterGroup(b); ok {
 			return g.withLocation(req.Key, ChatLocation{Group: to}), Elsewhere{Group: to}
@@ -87,13 +87,13 @@
 }
 
 func (g Group) anyServes(req PermitRequest) bool {
-	return slices.ContainsFunc(g.engines, func(e Engine) bool { return g.eligible(e, req) })
+	return slices.ContainsFunc(g.engines, func(e Target) bool { return g.eligible(e, req) })
 }
 
 // lighterGroup returns the other group with the lowest mean, if it is below ours.
-func (g Group) lighterGroup(b Bound) (GroupID, bool) {
+func (g Group) lighterGroup(b LoadBound) (GroupID, bool) {
 	best, found := GroupLoad{}, false
-	for _, o := range b.Others {
+	for _, o := range b.OtherGroups {
 		if o.Usable == 0 || o.Waiting > 0 {
 			continue
 		}
@@ -101,20 +101,20 @@
 			best, found = o, true
 		}
 	}
-	if !found || best.Load*g.Usable() >= g.total*best.Usable && g.Usable() > 0 {
+	if !found || best.Load*g.UsableTargets() >= g.total*best.Usable && g.UsableTargets() > 0 {
 		return GroupID{}, false
 	}
 	return best.Group, true
 }
 
-func (g Group) eligible(e Engine, req PermitRequest) bool {
+func (g Group) eligible(e Target, req PermitRequest) bool {
 	return e.Usable && e.serves(req.Model) && !slices.Contains(req.Exclude, e.ID)
 }
 
 // choose returns the engine for a request, or -1, and whether the chat is known there. A returning chat stays where it was unless that breaks the bound;
 // others go to the first engine of their rendezvous order that has room, else to
 // the least loaded.
-func (g Group) choose(req PermitRequest, b Bound, now time.Time) (int, bool) {
+func (g Group) choose(req PermitRequest, b LoadBound, now time.Time) (int, bool) {
 	mean := g.mean(b)
 	if p, ok := g.directory.Get(req.Key); ok && p.Target != "" {
 		i := g.index(p.Target)
@@ -125,7 +125,7 @@
 	if req.Final {
 		// Sent here by a group that is fuller: what others reported may be a
 		// second old, so the group's own mean counts where it is higher.
-		mean = max(mean, g.mean(Bound{}))
+		mean = max(mean, g.mean(LoadBound{}))
 	}
 	if i := g.first(req, limit(b, mean, newShare), now); i >= 0 {
 		return i, false
@@ -171,7 +171,7 @@
 }
 
 // fits tells whether e may take one more.
-func fits(e Engine, req PermitRequest, most int) bool {
+func fits(e Target, req PermitRequest, most int) bool {
 	slots := e.Slots
 	if req.Rank > 0 {
 		slots -= int(reserveShare * float64(e.Slots))
@@ -180,7 +180,7 @@
 }
 
 // slowStartPart rises from minSlowStart to 1 while an engine that came back warms.
-func slowStartPart(e Engine, now time.Time) float64 {
+func slowStartPart(e Target, now time.Time) float64 {
 	up := now.Sub(e.Since)
 	if e.Since.IsZero() || up >= slowStart {
 		return 1
--- a/core/routing/queue.go
+++ b/core/routing/queue.go
@@ -199,7 +199,7 @@
 
 // Reroute takes requests out of the queue that a lighter group may serve, and
 // returns that group.
-func (g Group) Reroute(b Bound) (Group, []PermitRequest, GroupID) {
+func (g Group) Reroute(b LoadBound) (Group, []PermitRequest, GroupID) {
 	to, ok := g.lighterGroup(b)
 	if g.queue.len() == 0 || !ok {
 		return g, nil, GroupID{}
--- a/core/zones/zones.go
+++ b/core/zones/zones.go
@@ -71,14 +71,14 @@
 const (
 	// Done means that the zone is as asked for, perhaps already before.
 	Done Outcome = iota
-	// Overtaken means that another order for the zone came first.
-	Overtaken
+	// Superseded means that another order for the zone came first.
+	Superseded
 	// TooMany means that no more zones can be remembered.
 	TooMany
 )
 
-// Check returns what is wrong with the change, or nil.
-func (c Change) Check() error {
+// Validate returns what is wrong with the change, or nil.
+func (c Change) Validate() error {
 	if c.Zone == "" || len(c.Zone) > maxNameLength {
 		return errors.New("the zone's name is empty or too long")
 	}
@@ -100,21 +100,21 @@
 	return Order{}
 }
 
-// Has tells whether a zone is drained.
-func (d Drained) Has(zone ident.Zone) bool { return d.newest(zone).Drained }
+// IsDrained tells whether a zone is drained.
+func (d Drained) IsDrained(zone ident.Zone) bool { return d.newest(zone).Drained }
 
 // RevisionOf is the revision of a zone's newest order; 0 where there was none.
 func (d Drained) RevisionOf(zone ident.Zone) uint64 { return d.newest(zone).Revision }
 
-// With returns the state after a change, and what became of the change.
-func (d Drained) With(c Change) (Drained, Outcome) {
+// Apply returns the state after a change, and what became of the change.
+func (d Drained) Apply(c Change) (Drained, Outcome) {
 	at, found := d.find(c.Zone)
 	have := d.newest(c.Zone)
 	switch {
 	case have.Drained == c.Drained:
 		return d, Done
 	case have.Revision != c.Seen:
-		return d, Overtaken
+		return d, Superseded
 	case !found && len(d.Orders) >= maxZones:
 		return d, TooMany
 	}
@@ -129,16 +129,16 @@
 	return d, Done
 }
 
-// Newest returns the later one of two states.
-func (d Drained) Newest(other Drained) Drained {
+// Latest returns the later one of two states.
+func (d Drained) Latest(other Drained) Drained {
 	if other.Revision > d.Revision {
 		return other
 	}
 	return d
 }
 
-// List are the zones that are drained, by name.
-func (d Drained) List() []ident.Zone {
+// DrainedZones are the zones that are drained, by name.
+func (d Drained) DrainedZones() []ident.Zone {
 	var out []ident.Zone
 	for _, o := range d.Orders {
 		if o.Drained {
@@ -148,7 +148,7 @@
 	return out
 }
 
-// Since are the orders after a revision.
-func (d Drained) Since(revision uint64) []Order {
+// OrdersSince are the orders after a revision.
+func (d Drained) OrdersSince(revision uint64) []Order {
 	return slices.DeleteFunc(slices.Clone(d.Orders), func(o Order) bool { return o.Revision <= revision })
 }
--- a/core/zones/zones_test.go
+++ b/core/zones/zones_test.go
@@ -27,13 +27,13 @@
 			zone := ident.Zone(fmt.Sprint("hall-", rapid.IntRange(0, 4).Draw(t, "zone")))
 			received := states[rapid.IntRange(0, len(states)-1).Draw(t, "received")]
 			c := zones.Change{Zone: zone, Drained: rapid.Bool().Draw(t, "drained"), Seen: received.RevisionOf(zone)}
-			next, outcome := held.With(c)
+			next, outcome := held.Apply(c)
 			switch {
 			case want[zone] == c.Drained:
 				require.Equal(t, zones.Done, outcome)
 				require.Equal(t, held, next, "an order that is sent again changes nothing")
 			case received.RevisionOf(zone) != held.RevisionOf(zone):
-				require.Equal(t, zones.Overtaken, outcome)
+				require.Equal(t, zones.Superseded, outcome)
 				require.Equal(t, held, next)
 			default:
 				require.Equal(t, zones.Done, outcome)
@@ -50,12 +50,12 @@
 func requireSame(t *rapid.T, want map[ident.Zone]bool, held zones.Drained) {
 	n := 0
 	for zone, drained := range want {
-		require.Equal(t, drained, held.Has(zone), zone)
+		require.Equal(t, drained, held.IsDrained(zone), zone)
 		if drained {
 			n++
 		}
 	}
-	require.Len(t, held.List(), n)
+	require.Len(t, held.DrainedZones(), n)
 }
 
 // TestNewestStateWins joins states in any order and as often as they are sent.
@@ -65,17 +65,17 @@
 		states := append(make([]zones.Drained, 0, maxOrders), last)
 		for i := range rapid.IntRange(1, 10).Draw(t, "orders") {
 			zone := ident.Zone(fmt.Sprint("hall-", i%3))
-			last, _ = last.With(zones.Change{Zone: zone, Drained: !last.Has(zone), Seen: last.RevisionOf(zone)})
+			last, _ = last.Apply(zones.Change{Zone: zone, Drained: !last.IsDrained(zone), Seen: last.RevisionOf(zone)})
 			states = append(states, last)
 		}
 		var held zones.Drained
 		revision := uint64(0)
 		for range 30 {
-			held = held.Newest(rapid.SampledFrom(states).Draw(t, "sent"))
+			held = held.Latest(rapid.SampledFrom(states).Draw(t, "sent"))
 			require.GreaterOrEqual(t, held.Revision, revision, "it never reverts")
 			revision = held.Revision
 		}
-		require.Equal(t, last, held.Newest(last))
+		require.Equal(t, last, held.Latest(last))
 	})
 }
 
@@ -84,10 +84,10 @@
 	outcome := zones.Done
 	for i := 0; outcome == zones.Done; i++ {
 		require.Less(t, i, 1000)
-		held, outcome = held.With(zones.Change{Zone: ident.Zone(fmt.Sprint(i)), Drained: true})
+		held, outcome = held.Apply(zones.Change{Zone: ident.Zone(fmt.Sprint(i)), Drained: true})
 	}
 	require.Equal(t, zones.TooMany, outcome)
-	_, outcome = held.With(zones.Change{Zone: "0", Drained: false, Seen: held.RevisionOf("0")})
+	_, outcome = held.Apply(zones.Change{Zone: "0", Drained: false, Seen: held.RevisionOf("0")})
 	require.Equal(t, zones.Done, outcome, "what is known can still be changed")
-	require.Error(t, zones.Change{}.Check())
+	require.Error(t, zones.Change{}.Validate())
 }
--- a/daemon/crashes_test.go
+++ b/daemon/crashes_test.go
@@ -61,7 +61,7 @@
 	for ends := range 4 {
 		k.keep([]host.CrashEntry{{Content: "c", Ends: ends, Age: time.Second}}, now)
 	}
-	want := []crashes.Entry{{Content: "c", Ends: 3, At: now.Add(-time.Second)}}
+	want := []crashes.Entry{{Content: "c", Crashes: 3, At: now.Add(-time.Second)}}
 	require.Eventually(t, func() bool { return len(w.last()) == 1 && w.last()[0] == want[0] }, time.Minute, time.Millisecond)
 	stop()
 	<-ended
@@ -71,7 +71,7 @@
 // starts without it where it is damaged.
 func TestCrashesAreReadAtTheStart(t *testing.T) {
 	dir, at := t.TempDir(), time.UnixMilli(1_790_000_000_000)
-	entry := crashes.Entry{Content: crashes.ContentOf("halls", []byte("bad")), Ends: 3, At: at}
+	entry := crashes.Entry{Content: crashes.ContentOf("halls", []byte("bad")), Crashes: 3, At: at}
 	require.Empty(t, keptCrashes(dir, logr.Discard(), at))
 	require.NoError(t, storage.KeepCrashes(dir, []crashes.Entry{entry}, nil))
 	want := []host.CrashEntry{{Content: entry.Content, Ends: 3, Age: time.Minute}}
--- a/daemon/forms_test.go
+++ b/daemon/forms_test.go
@@ -91,7 +91,7 @@
 
 // fullObservation is a request after two tries in which each field holds something.
 func fullObservation() gateway.Observation {
-	chosen := func(reflect.Type) any { return outcome.Broken{} }
+	chosen := func(reflect.Type) any { return outcome.Interrupted{} }
 	o := formtest.Filled(reflect.TypeFor[gateway.Observation](), chosen, "Cold").Interface().(gateway.Observation)
 	for _, d := range []*time.Duration{&o.Took, &o.Waited, &o.First, &o.Pause, &o.Verdict.RetryAfter} {
 		*d = time.Second
--- a/daemon/requestlog.go
+++ b/daemon/requestlog.go
@@ -125,7 +125,7 @@
 			return fmt.Sprintf("declined: %s, retry after %s", a.Reason, a.RetryAfter)
 		}
 		return "declined: " + a.Reason
-	case outcome.Broken:
+	case outcome.Interrupted:
 		return "broken: " + a.Reason
 	case outcome.Abandoned:
 		return "abandoned"
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -66,7 +66,7 @@
 	_, answered := result.(outcome.Answered)
 	late := !gone && !answered && !c.server.now().Before(d.Deadline)
 	if late {
-		result = outcome.Broken{Reason: "no whole answer before the deadline", Begun: c.relay.begun}
+		result = outcome.Interrupted{Reason: "no whole answer before the deadline", AnswerStarted: c.relay.begun}
 	}
 	c.observed.Tries = append(c.observed.Tries, Try{Dispatch: d, Result: result, Took: c.server.now().Sub(started)})
 	if late {
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -55,7 +55,7 @@
 	now := x.server.now()
 	conn, err := x.server.pool.get(ctx, x.dispatch.Worker, now)
 	if err != nil {
-		return outcome.NeverSent{Reason: err.Error(), Silent: isTimeout(err) && ctx.Err() == nil, Refused: isRefused(err)}
+		return outcome.NeverSent{Reason: err.Error(), ConnectTimedOut: isTimeout(err) && ctx.Err() == nil, ConnectRefused: isRefused(err)}
 	}
 	x.conn = conn
 	left := x.dispatch.Deadline.Sub(x.server.now())
@@ -72,7 +72,7 @@
 		if n == 0 {
 			return outcome.NeverSent{Reason: err.Error()}
 		}
-		return outcome.Broken{Reason: err.Error()}
+		return outcome.Interrupted{Reason: err.Error()}
 	}
 	x.sent = x.server.now()
 	return nil
@@ -226,7 +226,7 @@
 	resp, err := x.receive()
 	if err != nil {
 		_ = x.conn.Close()
-		return nil, outcome.Broken{Reason: err.Error(), Silent: isSilence(err)}
+		return nil, outcome.Interrupted{Reason: err.Error(), TimedOut: isSilence(err)}
 	}
 	x.server.reportHeader(x.dispatch, resp, x.server.now().Sub(x.sent))
 	if notRun(resp, x.server.headers) {
@@ -235,10 +235,10 @@
 	body, err := readBody(resp)
 	x.end(resp, err == nil)
 	if err != nil {
-		return nil, outcome.Broken{Reason: err.Error()}
+		return nil, outcome.Interrupted{Reason: err.Error()}
 	}
 	if resp.Header.Get(x.server.headers.Signature) == "" || resp.Header.Get("Content-Encoding") != "" {
-		return nil, outcome.Broken{Reason: "the answer is not signed by a worker"}
+		return nil, outcome.Interrupted{Reason: "the answer is not signed by a worker"}
 	}
 	return &answer{status: resp.StatusCode, header: resp.Header, body: body}, outcome.Answered{Status: resp.StatusCode}
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -51,7 +51,7 @@
 	resp, err := x.receive()
 	if err != nil {
 		_ = x.conn.Close()
-		return nil, outcome.Broken{Reason: err.Error(), Begun: r.begun, Silent: isSilence(err)}
+		return nil, outcome.Interrupted{Reason: err.Error(), AnswerStarted: r.begun, TimedOut: isSilence(err)}
 	}
 	x.server.reportHeader(x.dispatch, resp, x.server.now().Sub(x.sent))
 	if notRun(resp, x.server.headers) {
@@ -64,7 +64,7 @@
 	err = r.copyEvents(resp, func() { x.boundReads(x.dispatch.StallTimeout) })
 	x.end(resp, err == nil)
 	if err != nil {
-		return nil, outcome.Broken{Reason: err.Error(), Begun: r.begun}
+		return nil, outcome.Interrupted{Reason: err.Error(), AnswerStarted: r.begun}
 	}
 	if !r.begun {
 		r.begin(resp)
@@ -77,7 +77,7 @@
 	body, err := readBody(resp)
 	x.end(resp, err == nil)
 	if err != nil || !signed || r.begun {
-		return nil, outcome.Broken{Reason: "the worker answered " + resp.Status, Begun: r.begun}
+		return nil, outcome.Interrupted{Reason: "the worker answered " + resp.Status, AnswerStarted: r.begun}
 	}
 	return &answer{status: resp.StatusCode, header: resp.Header, body: body}, outcome.Answered{Status: resp.StatusCode}
 }
--- a/operators/zones.go
+++ b/operators/zones.go
@@ -31,7 +31,7 @@
 // zones shows which zones are drained, as this host knows them.
 func (a *API) zones(c echo.Context) error {
 	held := a.deps.Core.State().Zones()
-	out := Zones{Revision: held.Revision, Drained: held.List()}
+	out := Zones{Revision: held.Revision, Drained: held.DrainedZones()}
 	for _, o := range held.Orders {
 		out.Orders = append(out.Orders, ZoneOrder{Zone: o.Zone, Drained: o.Drained, Revision: o.Revision})
 	}
--- a/storage/crashes.go
+++ b/storage/crashes.go
@@ -39,7 +39,7 @@
 func KeepCrashes(dir string, entries []crashes.Entry, wrap func(File) File) error {
 	content := keptCrashes{Format: formatVersion}
 	for _, e := range entries {
-		content.Crashes = append(content.Crashes, keptCrash{Content: []byte(e.Content), Ends: e.Ends, At: e.At.UnixMilli()})
+		content.Crashes = append(content.Crashes, keptCrash{Content: []byte(e.Content), Ends: e.Crashes, At: e.At.UnixMilli()})
 	}
 	var b bytes.Buffer
 	if err := appendFrame(&b, content); err != nil {
@@ -67,7 +67,7 @@
 	}
 	out := make([]crashes.Entry, 0, len(content.Crashes))
 	for _, c := range content.Crashes {
-		out = append(out, crashes.Entry{Content: crashes.Content(c.Content), Ends: c.Ends, At: time.UnixMilli(c.At)})
+		out = append(out, crashes.Entry{Content: crashes.Content(c.Content), Crashes: c.Ends, At: time.UnixMilli(c.At)})
 	}
 	return out, nil
 }
--- a/storage/crashes_test.go
+++ b/storage/crashes_test.go
@@ -32,7 +32,7 @@
 	require.Empty(t, kept)
 
 	at := time.UnixMilli(1_790_000_000_123)
-	bad := crashes.Entry{Content: crashes.ContentOf("halls", []byte("bad")), Ends: 3, At: at}
+	bad := crashes.Entry{Content: crashes.ContentOf("halls", []byte("bad")), Crashes: 3, At: at}
 	answered := crashes.Entry{Content: crashes.ContentOf("tills", []byte("x")), At: at}
 	first, second := []crashes.Entry{bad}, []crashes.Entry{bad, answered}
 	for _, entries := range [][]crashes.Entry{first, second} {
--- a/targets/exchange.go
+++ b/targets/exchange.go
@@ -62,7 +62,7 @@
 	if got := resp.Header.Get(HeaderRequestID); got != string(x.Request) {
 		// The answer belongs to another request: drop it and its connection.
 		c.Mismatched.Add(1)
-		return outcome.Broken{Reason: "the answer carries the id of another request"}
+		return outcome.Interrupted{Reason: "the answer carries the id of another request"}
 	}
 	if reason := resp.Header.Get(HeaderDeclined); reason != "" {
 		return outcome.Declined{
@@ -85,9 +85,9 @@
 	case errors.Is(ctx.Err(), context.Canceled) || errors.Is(err, errCaller):
 		return outcome.Abandoned{Sent: touched}
 	case !touched:
-		return outcome.NeverSent{Reason: short(err), Refused: IsRefused(err)}
+		return outcome.NeverSent{Reason: short(err), ConnectRefused: IsRefused(err)}
 	default:
-		return outcome.Broken{Reason: short(err), Begun: begun}
+		return outcome.Interrupted{Reason: short(err), AnswerStarted: begun}
 	}
 }
 
@@ -105,7 +105,7 @@
 		return c.failed(ctx, true, false, err)
 	}
 	if int64(len(body)) > c.options.MaxAnswer {
-		return outcome.Broken{Reason: "the answer is too large"}
+		return outcome.Interrupted{Reason: "the answer is too large"}
 	}
 	if err := x.Sink.Begin(resp.StatusCode, resp.Header); err != nil {
 		return outcome.Abandoned{Sent: true}
--- a/targets/targets_test.go
+++ b/targets/targets_test.go
@@ -71,7 +71,7 @@
 				Header: http.Header{"Idempotency-Key": {"k"}}, Sink: discard{},
 			}
 			require.IsType(t, outcome.Answered{}, c.Do(context.Background(), x))
-			require.IsType(t, outcome.Broken{}, c.Do(context.Background(), x), "%s %q", method, body)
+			require.IsType(t, outcome.Interrupted{}, c.Do(context.Background(), x), "%s %q", method, body)
 			require.EqualValues(t, 2, seen.Load(), "%s %q", method, body)
 		}
 	}
