--- a/core/host/owner.go
+++ b/core/host/owner.go
@@ -248,7 +248,7 @@
 		return
 	}
 	d, _ := t.backups.Get(key)
-	d.MaxChats = t.settings.Chats
+	d.MaxChats = t.settings.MaxChatsPerGroup
 	for _, c := range m.Chats {
 		d = d.With(c.Key, c.Place)
 	}
--- a/daemon/forms_test.go
+++ b/daemon/forms_test.go
@@ -93,10 +93,10 @@
 func fullObservation() gateway.Observation {
 	chosen := func(reflect.Type) any { return outcome.Interrupted{} }
 	o := formtest.Filled(reflect.TypeFor[gateway.Observation](), chosen, "Cold").Interface().(gateway.Observation)
-	for _, d := range []*time.Duration{&o.Took, &o.Waited, &o.First, &o.Pause, &o.Verdict.RetryAfter} {
+	for _, d := range []*time.Duration{&o.Duration, &o.StartupWait, &o.TimeToFirstByte, &o.MaxEventGap, &o.Verdict.RetryAfter} {
 		*d = time.Second
 	}
-	o.Tries = append(o.Tries, o.Tries[0])
+	o.Attempts = append(o.Attempts, o.Attempts[0])
 	return o
 }
 
@@ -107,9 +107,9 @@
 	lines := newRequestLog(l.logger())
 	lines.observe(fullObservation())
 	o := fullObservation()
-	o.Tries = nil
+	o.Attempts = nil
 	lines.observe(o)
-	newNoteLog(l.logger()).observe(host.Note{Kind: host.NoteWorker, Object: "w", Detail: "d"})
+	newNoteLog(l.logger()).observe(host.LogRecord{Kind: host.LogWorkerRegistration, Object: "w", Detail: "d"})
 	requireGolden(t, "lines.golden", l.lines)
 }
 
@@ -129,11 +129,11 @@
 		requests.CodeOverloaded, requests.CodeBroken, requests.CodeDeadline, requests.CodeCallerGone,
 		requests.CodeCrashes,
 	}
-	notes := []host.NoteKind{
-		host.NoteRole, host.NoteConfig, host.NoteHostUp, host.NoteHostDown, host.NoteOwner, host.NoteTarget,
-		host.NoteReady, host.NoteDrain, host.NoteFallback, host.NoteStateLoad, host.NoteMembers, host.NoteWorker,
-		host.NoteReplica, host.NoteHub, host.NoteZone, host.NoteInForce,
-		host.NoteCrashes,
+	notes := []host.LogKind{
+		host.LogReplicaRole, host.LogConfiguration, host.LogHostUp, host.LogHostDown, host.LogGroupOwner, host.LogTargetHealth,
+		host.LogReady, host.LogDraining, host.LogOwnerUnreachable, host.LogStateRestored, host.LogReplicaMembership, host.LogWorkerRegistration,
+		host.LogReplicaContact, host.LogHub, host.LogZoneContact, host.LogTableInForce,
+		host.LogCrashes,
 	}
 	outcomes := []outcome.Kind{outcome.Ran, outcome.NotRun, outcome.Unknown}
 	lines := slices.Concat(named("code", codes), named("note", notes), named("outcome", outcomes))
