--- a/callers/serve.go
+++ b/callers/serve.go
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// attempt sends the request to the target of d. A passed deadline counts as a broken attempt,
+// attempt sends the request to the target of d. A passed deadline counts as an interrupted attempt,
 // not as a disconnected caller.
 func (a *API) attempt(ctx context.Context, x targets.Exchange, d host.Dispatch) outcome.Attempt {
 	x.Target = targets.Endpoint{ID: d.Target.ID, Address: d.Target.Address}
@@ -133,7 +133,7 @@
 	x.Header.Set(targets.HeaderPriority, strconv.Itoa(d.Rank))
 	result := a.deps.Targets.Do(ctx, x)
 	if _, abandoned := result.(outcome.Abandoned); abandoned && errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return outcome.Broken{Reason: "deadline exceeded", Begun: true}
+		return outcome.Interrupted{Reason: "deadline exceeded", AnswerStarted: true}
 	}
 	return result
 }
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -55,7 +55,7 @@
 
 func (c *serverCall) writeRefusal(v requests.Verdict) {
 	h := c.writer.Header()
-	if v.Elsewhere {
+	if v.TryOtherHost {
 		h.Set("Connection", "close")
 	}
 	if v.RetryAfter > 0 {
--- a/gateway/breakoff.go
+++ b/gateway/breakoff.go
@@ -43,7 +43,7 @@
 
 // AbortAttempt ends an attempt whose worker process is gone, after abortGrace. It does not
 // block.
-func (s *Server) AbortAttempt(b requests.BreakOff) {
+func (s *Server) AbortAttempt(b requests.AbortAttempt) {
 	s.exchanges.mu.Lock()
 	defer s.exchanges.mu.Unlock()
 	x := s.exchanges.byRequest[b.Request]
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -35,7 +35,7 @@
 			c.observed.StartupWait = c.server.now().Sub(c.startedAt)
 		case requests.Pause:
 			sleep(c.request.Context(), d.For)
-			next = c.server.nextDecision(requests.PauseEnded{Request: d.Request, Wanted: c.request.Context().Err() == nil})
+			next = c.server.nextDecision(requests.PauseEnded{Request: d.Request, CallerWaiting: c.request.Context().Err() == nil})
 		case requests.Dispatch:
 			next = c.server.nextDecision(c.attempt(d))
 		case requests.Finish:
@@ -66,13 +66,13 @@
 	_, answered := result.(outcome.Answered)
 	expired := !callerGone && !answered && !c.server.now().Before(d.Deadline)
 	if expired {
-		result = outcome.Broken{Reason: "deadline exceeded before the response was complete", Begun: c.relay.headerSent}
+		result = outcome.Interrupted{Reason: "deadline exceeded before the response was complete", AnswerStarted: c.relay.headerSent}
 	}
 	c.observed.Attempts = append(c.observed.Attempts, Attempt{Dispatch: d, Result: result, Duration: c.server.now().Sub(startedAt)})
 	if expired {
 		return requests.Expired{Request: d.Request}
 	}
-	return requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, Wanted: !callerGone}
+	return requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, CallerWaiting: !callerGone}
 }
 
 // sleep waits for d or until ctx is done.
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -51,12 +51,12 @@
 }
 
 // send writes the request. It returns nil on success, NeverSent if no byte can have reached
-// the worker and Broken otherwise.
+// the worker and Interrupted otherwise.
 func (x *exchange) send(ctx context.Context, lastEvent string) outcome.Attempt {
 	now := x.server.now()
 	conn, err := x.server.pool.acquire(ctx, x.dispatch.Worker, now)
 	if err != nil {
-		return outcome.NeverSent{Reason: err.Error(), Silent: isTimeout(err) && ctx.Err() == nil, Refused: isConnRefused(err)}
+		return outcome.NeverSent{Reason: err.Error(), ConnectTimedOut: isTimeout(err) && ctx.Err() == nil, ConnectRefused: isConnRefused(err)}
 	}
 	x.conn = conn
 	left := x.dispatch.Deadline.Sub(x.server.now())
@@ -73,7 +73,7 @@
 		if n == 0 {
 			return outcome.NeverSent{Reason: err.Error()}
 		}
-		return outcome.Broken{Reason: err.Error()}
+		return outcome.Interrupted{Reason: err.Error()}
 	}
 	x.sentAt = x.server.now()
 	return nil
@@ -185,7 +185,7 @@
 	_, err := readBody(resp)
 	x.releaseConn(resp, err == nil && !misdirected)
 	notice := x.server.headers.parseNotice(resp, x.server.now())
-	return outcome.Declined{Reason: resp.Status, Leaving: misdirected, RetryAfter: max(notice.Backoff, notice.Reluctance)}
+	return outcome.Declined{Reason: resp.Status, Leaving: misdirected, RetryAfter: max(notice.Backoff, notice.SoftBackoff)}
 }
 
 // releaseConn returns the connection to the pool, or closes it if the worker asked for
@@ -231,7 +231,7 @@
 	resp, err := x.readResponse()
 	if err != nil {
 		_ = x.conn.Close()
-		return nil, outcome.Broken{Reason: err.Error(), Silent: isResponseTimeout(err)}
+		return nil, outcome.Interrupted{Reason: err.Error(), TimedOut: isResponseTimeout(err)}
 	}
 	x.server.reportHeader(x.dispatch, resp, x.server.now().Sub(x.sentAt))
 	if reportsNotRun(resp, x.server.headers) {
@@ -240,10 +240,10 @@
 	body, err := readBody(resp)
 	x.releaseConn(resp, err == nil)
 	if err != nil {
-		return nil, outcome.Broken{Reason: err.Error()}
+		return nil, outcome.Interrupted{Reason: err.Error()}
 	}
 	if resp.Header.Get(x.server.headers.Signature) == "" || resp.Header.Get("Content-Encoding") != "" {
-		return nil, outcome.Broken{Reason: "response without a worker's signature"}
+		return nil, outcome.Interrupted{Reason: "response without a worker's signature"}
 	}
 	return &response{status: resp.StatusCode, header: resp.Header, body: body}, outcome.Answered{Status: resp.StatusCode}
 }
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -17,7 +17,7 @@
 	case http.StatusMisdirectedRequest:
 		return requests.Notice{}
 	case http.StatusTooManyRequests:
-		return requests.Notice{Leaving: h.isLeaving(resp.Header), Reluctance: retryafter.Of(resp.Header, now)}
+		return requests.Notice{Leaving: h.isLeaving(resp.Header), SoftBackoff: retryafter.Of(resp.Header, now)}
 	case http.StatusServiceUnavailable:
 		return requests.Notice{Leaving: h.isLeaving(resp.Header), Backoff: retryafter.Of(resp.Header, now)}
 	}
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -162,8 +162,8 @@
 // shouldCancel reports a missing response header to the core and returns whether the attempt
 // is canceled, because the request goes to another worker.
 func (s *Server) shouldCancel(d requests.Dispatch, waited time.Duration) bool {
-	for _, decision := range s.core.Decide(requests.HeaderLate{Request: d.Request, Attempt: d.Attempt, Waited: waited}) {
-		if g, ok := decision.(requests.GiveUp); ok && g.Request == d.Request {
+	for _, decision := range s.core.Decide(requests.HeaderTimedOut{Request: d.Request, Attempt: d.Attempt, Waited: waited}) {
+		if g, ok := decision.(requests.CancelAttempt); ok && g.Request == d.Request {
 			return true
 		}
 	}
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -91,7 +91,7 @@
 		Keys: []config.KeyOwner{{Account: "halls", KeyHashes: []string{keys.Hash(callerKey)}}},
 	}
 	b := &testbed{t: t, core: &fakeCore{}, pool: gateway.NewPool(nil)}
-	b.core.state = requests.New(requests.Settings{KeyLease: time.Hour}).WithConfig(table).WithHosts(1)
+	b.core.state = requests.New(requests.Settings{KeyLease: time.Hour}).WithRouteTable(table).WithHostCount(1)
 	registered := make([]registry.Worker, 0, workers)
 	for i := range workers {
 		w, err := standin.StartWorker("127.0.0.1:0", fmt.Sprintf("w%d", i), workerNames())
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -51,7 +51,7 @@
 	resp, err := x.readResponse()
 	if err != nil {
 		_ = x.conn.Close()
-		return nil, outcome.Broken{Reason: err.Error(), Begun: r.headerSent, Silent: isResponseTimeout(err)}
+		return nil, outcome.Interrupted{Reason: err.Error(), AnswerStarted: r.headerSent, TimedOut: isResponseTimeout(err)}
 	}
 	x.server.reportHeader(x.dispatch, resp, x.server.now().Sub(x.sentAt))
 	if reportsNotRun(resp, x.server.headers) {
@@ -64,7 +64,7 @@
 	err = r.copyEvents(resp, func() { x.setReadTimeout(x.dispatch.StallTimeout) })
 	x.releaseConn(resp, err == nil)
 	if err != nil {
-		return nil, outcome.Broken{Reason: err.Error(), Begun: r.headerSent}
+		return nil, outcome.Interrupted{Reason: err.Error(), AnswerStarted: r.headerSent}
 	}
 	if !r.headerSent {
 		r.sendHeader(resp)
@@ -78,7 +78,7 @@
 	body, err := readBody(resp)
 	x.releaseConn(resp, err == nil)
 	if err != nil || !signed || r.headerSent {
-		return nil, outcome.Broken{Reason: "worker responded with status " + resp.Status, Begun: r.headerSent}
+		return nil, outcome.Interrupted{Reason: "worker responded with status " + resp.Status, AnswerStarted: r.headerSent}
 	}
 	return &response{status: resp.StatusCode, header: resp.Header, body: body}, outcome.Answered{Status: resp.StatusCode}
 }
--- a/targets/exchange.go
+++ b/targets/exchange.go
@@ -60,7 +60,7 @@
 	if got := resp.Header.Get(HeaderRequestID); got != string(x.Request) {
 		// The response belongs to another request; its unread body also closes the connection.
 		c.Mismatched.Add(1)
-		return outcome.Broken{Reason: "response has the id of another request"}
+		return outcome.Interrupted{Reason: "response has the id of another request"}
 	}
 	if reason := resp.Header.Get(HeaderDeclined); reason != "" {
 		return outcome.Declined{
@@ -78,15 +78,15 @@
 }
 
 // classifyError returns the outcome of a failed attempt: Abandoned if the caller left, NeverSent
-// if no connection was obtained, Broken otherwise. ctx is the caller's, without the stall timeout.
+// if no connection was obtained, Interrupted otherwise. ctx is the caller's, without the stall timeout.
 func (c *Client) classifyError(ctx context.Context, connected, headerSent bool, err error) outcome.Attempt {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled) || errors.Is(err, errCallerWrite):
 		return outcome.Abandoned{Sent: connected}
 	case !connected:
-		return outcome.NeverSent{Reason: shortReason(err), Refused: IsConnRefused(err)}
+		return outcome.NeverSent{Reason: shortReason(err), ConnectRefused: IsConnRefused(err)}
 	default:
-		return outcome.Broken{Reason: shortReason(err), Begun: headerSent}
+		return outcome.Interrupted{Reason: shortReason(err), AnswerStarted: headerSent}
 	}
 }
 
@@ -106,7 +106,7 @@
 		return c.classifyError(ctx, true, false, err)
 	}
 	if int64(len(body)) > c.options.MaxResponse {
-		return outcome.Broken{Reason: "response body exceeds the size limit"}
+		return outcome.Interrupted{Reason: "response body exceeds the size limit"}
 	}
 	if err := x.Sink.Begin(resp.StatusCode, resp.Header); err != nil {
 		return outcome.Abandoned{Sent: true}
