--- a/callers/serve.go
+++ b/callers/serve.go
@@ -101,7 +101,7 @@
 				a.deps.Core.ReportAttempt(host.AttemptEnded{Request: r.ID, Attempt: e.Attempt, Result: last})
 			case host.Finish:
 				if s.cacheable && s.headerSent && e.Verdict.Outcome == outcome.Ran {
-					a.deps.Responses.Add(r.ID, s.cached)
+					a.deps.Responses.Add(r.ID, s.copy)
 				}
 				a.observe(e.Verdict, last, s, startedAt)
 				return s.finish(e.Verdict)
@@ -133,7 +133,7 @@
 	x.Header.Set(targets.HeaderPriority, strconv.Itoa(d.Rank))
 	result := a.deps.Targets.Do(ctx, x)
 	if _, abandoned := result.(outcome.Abandoned); abandoned && errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return outcome.Interrupted{Reason: "deadline exceeded", AnswerStarted: true}
+		return outcome.Interrupted{Reason: "the deadline passed", AnswerStarted: true}
 	}
 	return result
 }
--- a/callers/sink.go
+++ b/callers/sink.go
@@ -29,7 +29,7 @@
 	// cacheable is set while the response is to be cached. It is cleared once the body exceeds
 	// maxCachedBody.
 	cacheable bool
-	cached    host.Answer
+	copy      host.Answer
 }
 
 // Begin implements targets.Sink.
@@ -48,7 +48,7 @@
 	}
 	s.timeToFirstByte = s.api.deps.Now().Sub(s.startedAt)
 	s.headerSent = true
-	s.cached = host.Answer{Status: status, ContentType: h.Get("Content-Type")}
+	s.copy = host.Answer{Status: status, ContentType: h.Get("Content-Type")}
 	s.w.WriteHeader(status)
 	return nil
 }
@@ -71,8 +71,8 @@
 
 // record appends to the copy of the response for the cache.
 func (s *sink) record(p []byte) {
-	if s.cacheable = s.cacheable && len(s.cached.Body)+len(p) <= maxCachedBody; s.cacheable {
-		s.cached.Body = append(s.cached.Body, p...)
+	if s.cacheable = s.cacheable && len(s.copy.Body)+len(p) <= maxCachedBody; s.cacheable {
+		s.copy.Body = append(s.copy.Body, p...)
 	}
 }
 
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -150,7 +150,7 @@
 	for range maxForeignResponses {
 		resp, err := http.ReadResponse(x.conn.reader, &http.Request{Method: x.request.Method})
 		if err != nil {
-			return nil, errors.Wrap(err, "read response")
+			return nil, errors.Wrap(err, "read the answer")
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -35,7 +35,7 @@
 	maxGap    time.Duration
 	// lastEventID is the id of the last event that the caller has.
 	lastEventID string
-	// writeFailed is set once a write to the caller failed.
+	// writeFailed is set once writing to the response failed.
 	writeFailed bool
 }
 
@@ -78,7 +78,7 @@
 	body, err := readBody(resp)
 	x.releaseConn(resp, err == nil)
 	if err != nil || !signed || r.headerSent {
-		return nil, outcome.Interrupted{Reason: "worker responded with status " + resp.Status, AnswerStarted: r.headerSent}
+		return nil, outcome.Interrupted{Reason: "the worker answered " + resp.Status, AnswerStarted: r.headerSent}
 	}
 	return &response{status: resp.StatusCode, header: resp.Header, body: body}, outcome.Answered{Status: resp.StatusCode}
 }
--- a/targets/client.go
+++ b/targets/client.go
@@ -96,7 +96,7 @@
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			if c.options.Blocked != nil && c.options.Blocked(address) {
-				return nil, errors.New("address is blocked")
+				return nil, errors.New("unreachable")
 			}
 			return d.DialContext(ctx, network, address)
 		},
@@ -146,7 +146,7 @@
 	url := "http://" + x.Target.Address + x.Path
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), x.Method, url, nonReplayableBody{bytes.NewReader(x.Body)})
 	if err != nil {
-		return nil, false, errors.Wrap(err, "create request")
+		return nil, false, errors.Wrap(err, "make request")
 	}
 	req.ContentLength = int64(len(x.Body))
 	req.Header = x.Header.Clone()
@@ -183,7 +183,7 @@
 func (c *Client) getJSON(ctx context.Context, url string, v any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return errors.Wrap(err, "create request")
+		return errors.Wrap(err, "make request")
 	}
 	// An empty value keeps net/http from sending a User-Agent, which halves the request.
 	req.Header.Set("User-Agent", "")
@@ -199,7 +199,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return errors.Errorf("target responded with status %s", resp.Status)
 	}
-	return errors.Wrap(json.Unmarshal(body, v), "decode response")
+	return errors.Wrap(json.Unmarshal(body, v), "decode answer")
 }
 
 func closeBody(resp *http.Response) { _ = resp.Body.Close() }
