--- a/core/host/capacity_test.go
+++ b/core/host/capacity_test.go
@@ -89,10 +89,10 @@
 	return float64(b.Len() - first)
 }
 
-func specs(n int) []routing.Spec {
-	out := make([]routing.Spec, 0, n)
+func specs(n int) []routing.TargetSpec {
+	out := make([]routing.TargetSpec, 0, n)
 	for i := range n {
-		out = append(out, routing.Spec{ID: ident.Target(fmt.Sprintf("e%03d", i)), Slots: 64, Models: []ident.Model{model}, Usable: true})
+		out = append(out, routing.TargetSpec{ID: ident.Target(fmt.Sprintf("e%03d", i)), Slots: 64, Models: []ident.Model{model}, Usable: true})
 	}
 	return out
 }
@@ -110,11 +110,11 @@
 
 func slopes() []slope {
 	now := time.Unix(1_000_000, 0)
-	bound := routing.Bound{Multiple: 1.5}
+	bound := routing.LoadBound{LoadFactor: 1.5}
 	return []slope{
 		measureSlope("chat remembered by an owner", "heap bytes", []int{8000, 16000, 32000}, func(n int) float64 {
 			return heapBytes(func() any {
-				d := routing.Directory{Bound: 4 * n}
+				d := routing.Directory{MaxChats: 4 * n}
 				for i := range n {
 					d = d.With(hash.Of(fmt.Sprint(i)), routing.ChatLocation{Target: "e001"})
 				}
@@ -141,11 +141,11 @@
 			return float64(len(claims(n).Encode()))
 		}),
 		measureSlope("engine in a group, per ask and release", "ns", []int{8, 16, 24}, func(n int) float64 {
-			g := routing.NewGroup(routing.GroupID{Service: service, Zone: "z0"}, now).WithEngines(specs(n), now)
+			g := routing.NewGroup(routing.GroupID{Service: service, Zone: "z0"}, now).WithTargets(specs(n), now)
 			return nanosecondsPerOp(func(b *testing.B) {
 				for i := 0; b.Loop(); i++ {
 					ask := permitRequestFor(i%1000, now)
-					g, _ = g.Request(ask, bound, now)
+					g, _ = g.RequestPermit(ask, bound, now)
 					g, _ = g.Release(ask.Permit, bound, now)
 				}
 			})
@@ -157,7 +157,7 @@
 			return nanosecondsPerOp(func(b *testing.B) {
 				for i := 0; b.Loop(); i++ {
 					id := ident.Request(fmt.Sprintf("r%d", i))
-					s, _ = host.Reduce(s, host.Arrived{Request: host.Request{
+					s, _ = host.Reduce(s, host.RequestArrived{Request: host.Request{
 						ID: id, KeyHash: keyOf("account-1"), Model: model, Chat: hash.Of(fmt.Sprint(i % 1000)), Deadline: at.Add(time.Minute),
 					}}, at)
 					s, _ = host.Reduce(s, host.AttemptEnded{Request: id, Attempt: 1, Result: outcome.Answered{}}, at)
@@ -200,7 +200,7 @@
 							{ID: "system", Tokens: 500}, {ID: fmt.Sprint(i % 30), Tokens: 9000}, {ID: "own", Tokens: 900},
 						}},
 					}}, now)
-					s, _ = requests.Reduce(s, requests.AttemptEnded{Request: id, Attempt: 1, Result: outcome.Answered{Status: 200}, Wanted: true}, now)
+					s, _ = requests.Reduce(s, requests.AttemptEnded{Request: id, Attempt: 1, Result: outcome.Answered{Status: 200}, CallerWaiting: true}, now)
 				}
 			})
 		}),
@@ -222,7 +222,7 @@
 			return nanosecondsPerOp(func(b *testing.B) {
 				for b.Loop() {
 					version++
-					s, _ = host.Reduce(s, host.Received{From: "state", Message: host.Changes{
+					s, _ = host.Reduce(s, host.MessageReceived{From: "state", Message: host.Changes{
 						Version: version, Deltas: []catalog.Delta{{Version: version, Change: config.PutClass{Class: config.Class{ID: "bulk", Rank: 2}}}},
 					}}, at)
 				}
@@ -268,7 +268,7 @@
 		Shares: []config.Share{{Pool: "pool", Weight: 1}}, MaxAttempts: 2,
 	})
 	g.Keys = []config.KeyOwner{{Account: "a", KeyHashes: []string{"k"}}}
-	s := requests.New(requests.Settings{Zone: "z"}).WithConfig(g)
+	s := requests.New(requests.Settings{Zone: "z"}).WithRouteTable(g)
 	workers := make([]registry.Worker, 0, n)
 	for i := range n {
 		workers = append(workers, registry.Worker{ID: ident.Target(fmt.Sprintf("i-%010x", i*7919)), Pool: "pool", Zone: "z", Address: fmt.Sprintf("10.1.%d.%d:80", i/250, i%250), Slots: 64, Seq: 1})
@@ -280,7 +280,7 @@
 
 func hostWithConfig(doc config.Document, now time.Time) host.State {
 	s := host.New(host.Settings{ID: hostName(0), Zone: zone(0), Serves: true}, 1, now)
-	s, _ = host.Reduce(s, host.Received{From: "state", Message: host.WholeConfig{Leader: "state", Fresh: true, Document: doc}}, now)
+	s, _ = host.Reduce(s, host.MessageReceived{From: "state", Message: host.WholeConfig{Leader: "state", Fresh: true, Document: doc}}, now)
 	return s
 }
 
--- a/core/host/fallback.go
+++ b/core/host/fallback.go
@@ -68,8 +68,8 @@
 
 // fallbackPeersToPoll returns the entry hosts to poll now, none while confirmations arrive.
 func (t *transition) fallbackPeersToPoll() []ident.Host {
-	confirmed := t.requests.Confirmed()
-	if confirmed.Never() || confirmed.Age(t.now) < fallbackAfter || t.pollsHubs() {
+	confirmed := t.requests.Confirmation()
+	if confirmed.IsZero() || confirmed.Age(t.now) < fallbackAfter || t.pollsHubs() {
 		return nil
 	}
 	list := t.seeded.fallback.list
--- a/core/host/fallback_test.go
+++ b/core/host/fallback_test.go
@@ -137,7 +137,7 @@
 	require.True(t, f.states[entryName(0)].Ready())
 	f.heartbeatAnswers = nil
 	f.sendHeartbeat(entryName(0), "w1", registry.Ready, 9)
-	require.False(t, f.heartbeatAnswers[0].Taken)
+	require.False(t, f.heartbeatAnswers[0].Accepted)
 }
 
 // TestLargeFleetsGetNoFallbackPeers guards against lists of fallback peers being sent in a
--- a/core/host/follow.go
+++ b/core/host/follow.go
@@ -86,7 +86,7 @@
 
 func (t *transition) becomeReady(source string) {
 	t.ready = true
-	t.note(NoteReady, string(t.settings.ID), fmt.Sprintf("version=%d from %s", t.config.Version, source))
+	t.note(LogReady, string(t.settings.ID), fmt.Sprintf("version=%d from %s", t.config.Version, source))
 }
 
 func (t *transition) selfHost() config.Host {
@@ -247,12 +247,12 @@
 	}
 	hostsChanged := t.config.Hosts != cfg.Hosts
 	t.config = cfg
-	t.requests = t.requests.WithConfig(cfg.Gateway)
+	t.requests = t.requests.WithRouteTable(cfg.Gateway)
 	t.recordNewestVersion(cfg.Version)
 	t.recordTable(cfg)
 	t.counters.ConfigApplied++
 	if hostsChanged {
-		t.emit(KnowHosts{Hosts: cfg.Hosts.Values()})
+		t.emit(UpdateHostAddresses{Hosts: cfg.Hosts.Values()})
 	}
 	if !t.settings.Seeded() {
 		owners := t.layout.owners
@@ -260,5 +260,5 @@
 		t.layout.owners = owners
 		t.updateOwners()
 	}
-	t.note(NoteConfig, string(t.settings.ID), fmt.Sprintf("version=%d", cfg.Version))
+	t.note(LogConfiguration, string(t.settings.ID), fmt.Sprintf("version=%d", cfg.Version))
 }
--- a/core/host/hub.go
+++ b/core/host/hub.go
@@ -31,10 +31,10 @@
 // never modified in place.
 type hubState struct {
 	// list holds the hubs in force; on a replica, those it selected.
-	list hubs.Naming
+	list hubs.Selection
 	// pollSet holds the hubs that this host polls. pollReplicasAt is when replicas are polled
 	// next while no hub gives a useful reply.
-	pollSet        hubs.Choice
+	pollSet        hubs.PollSet
 	pollReplicasAt time.Time
 	// serves is set once this host has been listed as a hub or polled as a fallback peer, and
 	// stays set: it then keeps registrations and replies to polls.
@@ -89,7 +89,7 @@
 func (t *transition) updateHubPollSet() {
 	h := &t.seeded.hub
 	if !t.pollsHubs() {
-		h.pollSet = h.pollSet.Without()
+		h.pollSet = h.pollSet.Cleared()
 		return
 	}
 	lastUseful := func(id ident.Host) time.Time {
@@ -98,7 +98,7 @@
 	}
 	self := hubs.Self{ID: t.settings.ID, Zone: t.settings.Zone}
 	timeout := max(hubTimeout, leaderTimeoutIntervals*t.pollInterval())
-	h.pollSet = h.pollSet.Renewed(h.list.Hosts, self, lastUseful, timeout, t.now)
+	h.pollSet = h.pollSet.Updated(h.list.Hosts, self, lastUseful, timeout, t.now)
 }
 
 // deregisterFromUnpolled deregisters this host from hosts that it has stopped polling, because
@@ -123,14 +123,14 @@
 		t.registry = t.registry.WithReport(w, t.now)
 	}
 	t.recordTable(t.config)
-	t.note(NoteHub, string(t.settings.ID), "answers other hosts")
+	t.note(LogHub, string(t.settings.ID), "answers other hosts")
 }
 
 // hubReply adds to a reply what a hub reports in place of a leader.
 func (t *transition) hubReply(r PollReply, m Poll) PollReply {
 	r.Leader, r.Hosts, r.Replicas = t.seeded.leaderContact, t.seeded.hosts, t.seeded.replicas
 	r.Cut = !t.replicaRepliedWithin(hubTimeout)
-	if confirmed := t.requests.Confirmed(); !confirmed.Never() {
+	if confirmed := t.requests.Confirmation(); !confirmed.IsZero() {
 		r.Age = confirmed.Age(t.now)
 		r.Fresh = r.Age < replicaTimeout
 	}
--- a/core/host/hub_test.go
+++ b/core/host/hub_test.go
@@ -53,7 +53,7 @@
 		if f.down[id] || len(but) > 0 && but[0] == id {
 			continue
 		}
-		require.EqualValues(t, number, f.states[id].Requests().Number(), "entry %d", i)
+		require.EqualValues(t, number, f.states[id].Requests().TableNumber(), "entry %d", i)
 		require.True(t, f.states[id].Ready(), "entry %d", i)
 		require.IsType(t, requests.Dispatch{}, f.sendRequest(id, "/x/1", "k"), "entry %d", i)
 	}
@@ -288,11 +288,11 @@
 	}
 	first := answer(replicaName(0), "new")
 	relay, ok := strings.CutPrefix(first.Relay, "relay at ")
-	require.True(t, first.Taken && ok, "%#v", first)
+	require.True(t, first.Accepted && ok, "%#v", first)
 	require.EqualValues(t, "z1", f.zoneOf(ident.Host(relay)))
 	taken := 0
 	for i := range 100 {
-		if answer(ident.Host(relay), fmt.Sprint("many-", i)).Taken {
+		if answer(ident.Host(relay), fmt.Sprint("many-", i)).Accepted {
 			taken++
 		}
 	}
--- a/core/host/hublist.go
+++ b/core/host/hublist.go
@@ -30,13 +30,13 @@
 			found[c.host.Host] = c.host
 		}
 	}
-	return slices.SortedFunc(maps.Values(found), func(a, b hubs.Host) int { return hubs.First(a.Host < b.Host) })
+	return slices.SortedFunc(maps.Values(found), func(a, b hubs.Host) int { return hubs.SortOrder(a.Host < b.Host) })
 }
 
 // hubThreshold returns the number of entry hosts above which hubs are selected.
 func (t *transition) hubThreshold() int {
 	if t.settings.HubsAbove == 0 {
-		return hubs.DefaultAbove
+		return hubs.DefaultThreshold
 	}
 	return t.settings.HubsAbove
 }
@@ -45,7 +45,7 @@
 // hosts.
 func (t *transition) selectHubs(hosts []hubs.Host) {
 	if t.now.Sub(t.started) >= hubWarmUp {
-		t.seeded.hub.list = t.seeded.hub.list.Renewed(hosts, t.hubThreshold(), t.now)
+		t.seeded.hub.list = t.seeded.hub.list.Updated(hosts, t.hubThreshold(), t.now)
 	}
 }
 
@@ -67,7 +67,7 @@
 		return
 	}
 	if h.list.Len() == 0 {
-		h.pollSet = h.pollSet.WithUseful(t.now)
+		h.pollSet = h.pollSet.WithUsefulReply(t.now)
 	}
 	h.list.List = hubs.List{Hosts: m.Hubs, Key: m.HubList}
 	if h.list.Has(t.settings.ID) && !h.serves {
--- a/core/host/inforce.go
+++ b/core/host/inforce.go
@@ -20,24 +20,24 @@
 const leaseWarmUp = maxPollInterval + minPollInterval
 
 func (t *transition) inForceSettings() inforce.Settings {
-	return inforce.Settings{KeyLease: t.requests.KeyLease(), Within: t.settings.InForce, WarmUp: leaseWarmUp}
+	return inforce.Settings{KeyLease: t.requests.KeyLease(), InForceWithin: t.settings.InForceWithin, WarmUp: leaseWarmUp}
 }
 
-func (t *transition) inForceView() inforce.View {
-	return inforce.View{Self: t.settings.ID, Started: t.started, LeaderSince: t.leaderSince}
+func (t *transition) inForceView() inforce.HostInfo {
+	return inforce.HostInfo{Self: t.settings.ID, Started: t.started, LeaderSince: t.leaderSince}
 }
 
 // recordLease records which table a host reports in force, and that the reply confirms the
 // version held here.
 func (t *transition) recordLease(from ident.Host, m Poll) {
 	t.seeded.inForce = t.seeded.inForce.WithGrant(inforce.Grant{
-		From: from, Boot: m.Boot, InForce: m.InForce, Sent: t.heldConfig().Version,
+		From: from, Boot: m.Boot, OldestInForce: m.InForce, SentVersion: t.heldConfig().Version,
 	}, t.now)
 }
 
 func (t *transition) expireLeases() {
-	t.seeded.inForce = t.seeded.inForce.WithoutEnded(t.inForceSettings(), t.now)
-	t.seeded.zonesInForce = t.seeded.zonesInForce.WithoutEnded(t.inForceSettings(), t.now)
+	t.seeded.inForce = t.seeded.inForce.WithoutExpired(t.inForceSettings(), t.now)
+	t.seeded.zonesInForce = t.seeded.zonesInForce.WithoutExpired(t.inForceSettings(), t.now)
 }
 
 // inForceReportDue reports whether this host should poll early because a leader may be waiting
@@ -49,18 +49,18 @@
 // inForceReport returns the oldest table in force to report in polls, and records that it is
 // reported.
 func (t *transition) inForceReport() config.Version {
-	next, oldest := t.seeded.inForce.WithReport(t.config.Version, t.inForceSettings(), t.now)
+	next, oldest := t.seeded.inForce.TakeReport(t.config.Version, t.inForceSettings(), t.now)
 	t.seeded.inForce = next
 	return oldest
 }
 
 // holdWrite holds the answer to a committed write until its table, or the drained zones, are in
 // force. Only a leader knows when that is.
-func (t *transition) holdWrite(a inforce.Answer, ofZones bool) {
+func (t *transition) holdWrite(a inforce.PendingWrite, ofZones bool) {
 	if ofZones {
-		t.seeded.zonesInForce = t.seeded.zonesInForce.WithAnswer(a, t.now)
+		t.seeded.zonesInForce = t.seeded.zonesInForce.WithPendingWrite(a, t.now)
 	} else {
-		t.seeded.inForce = t.seeded.inForce.WithAnswer(a, t.now)
+		t.seeded.inForce = t.seeded.inForce.WithPendingWrite(a, t.now)
 	}
 	t.releaseWrites()
 }
@@ -71,20 +71,20 @@
 	if !t.raft.LeaseHeld(t.now) {
 		return
 	}
-	t.seeded.inForce = t.releaseWritesOf(t.seeded.inForce, t.inForceSettings(), NoteInForce)
+	t.seeded.inForce = t.releaseWritesOf(t.seeded.inForce, t.inForceSettings(), LogTableInForce)
 	if t.allReplicasKnowZones() {
-		t.seeded.zonesInForce = t.releaseWritesOf(t.seeded.zonesInForce, t.zonesSettings(), NoteZonesInForce)
+		t.seeded.zonesInForce = t.releaseWritesOf(t.seeded.zonesInForce, t.zonesSettings(), LogZoneOrderInForce)
 	}
 }
 
 // releaseWritesOf answers the released writes of one kind: route tables or drained zones.
-func (t *transition) releaseWritesOf(state inforce.State, settings inforce.Settings, kind NoteKind) inforce.State {
-	if state.Waiting() == 0 {
+func (t *transition) releaseWritesOf(state inforce.State, settings inforce.Settings, kind LogKind) inforce.State {
+	if state.PendingWrites() == 0 {
 		return state
 	}
-	next, released := state.Release(settings, t.inForceView(), t.now)
+	next, released := state.ReleaseWrites(settings, t.inForceView(), t.now)
 	for _, a := range released {
-		t.note(kind, a.ID, fmt.Sprintf("version=%d after=%s waited_for=%s", a.Version, a.After, a.WaitedFor))
+		t.note(kind, a.ID, fmt.Sprintf("version=%d after=%s waited_for=%s", a.Version, a.Delay, a.BlockedBy))
 		if a.To == t.settings.ID {
 			t.handleWriteAnswered(a.ID, a.Result)
 			continue
@@ -101,10 +101,10 @@
 		return
 	}
 	if m.Zones > 0 {
-		t.holdWrite(inforce.Answer{ID: m.ID, To: from, Version: m.Zones, Result: t.successResult()}, true)
+		t.holdWrite(inforce.PendingWrite{ID: m.ID, To: from, Version: m.Zones, Result: t.successResult()}, true)
 		return
 	}
-	t.holdWrite(inforce.Answer{ID: m.ID, To: from, Version: m.Version, Result: t.successResult()}, false)
+	t.holdWrite(inforce.PendingWrite{ID: m.ID, To: from, Version: m.Version, Result: t.successResult()}, false)
 }
 
 // awaitInForce waits until the table or the drained zones of a committed write are in force.
@@ -116,7 +116,7 @@
 	p.resendAt = t.now.Add(resendInterval)
 	t.writes = t.writes.With(p.write.ID, p)
 	if t.raft.Role() == raft.Leader {
-		t.holdWrite(inforce.Answer{ID: p.write.ID, To: t.settings.ID, Version: p.inForce, Result: t.successResult()}, ofZones)
+		t.holdWrite(inforce.PendingWrite{ID: p.write.ID, To: t.settings.ID, Version: p.inForce, Result: t.successResult()}, ofZones)
 		return
 	}
 	m := AwaitInForce{ID: p.write.ID, Version: p.inForce}
--- a/core/host/inforce_test.go
+++ b/core/host/inforce_test.go
@@ -26,7 +26,7 @@
 func (f *seededFleet) submitTable(at ident.Host, g config.RouteTable) string {
 	f.starts++
 	id := fmt.Sprintf("write-%d", f.starts)
-	f.reduce(at, host.Submitted{
+	f.reduce(at, host.WriteSubmitted{
 		Write:    catalog.Write{ID: id, Command: catalog.Edit{Change: config.PutRouteTable{Gateway: g}}},
 		Deadline: f.now.Add(20 * time.Second),
 	})
@@ -155,7 +155,7 @@
 						// The first table replaces none, so no host serves by an older one.
 						break
 					}
-					require.EqualValues(t, number, f.states[entryName(i)].Requests().Number(), "entry %d", i)
+					require.EqualValues(t, number, f.states[entryName(i)].Requests().TableNumber(), "entry %d", i)
 				}
 				f.run(time.Second)
 			}
--- a/core/host/loads_test.go
+++ b/core/host/loads_test.go
@@ -43,7 +43,7 @@
 	}
 	for _, d := range sent[:3] {
 		f.reduce(entryName(0), host.RequestEvent{Event: requests.AttemptEnded{
-			Request: d.Request, Attempt: d.Attempt, Result: outcome.Answered{Status: 200}, Wanted: true,
+			Request: d.Request, Attempt: d.Attempt, Result: outcome.Answered{Status: 200}, CallerWaiting: true,
 		}})
 	}
 	f.run(2 * time.Second)
@@ -55,7 +55,7 @@
 	d, ok := f.sendRequest(at, "/x/1", "k").(requests.Dispatch)
 	require.True(f.t, ok)
 	f.reduce(at, host.RequestEvent{Event: requests.AttemptEnded{
-		Request: d.Request, Attempt: d.Attempt, Result: outcome.Answered{Status: 200}, Wanted: true,
+		Request: d.Request, Attempt: d.Attempt, Result: outcome.Answered{Status: 200}, CallerWaiting: true,
 	}})
 	return d.Inputs.Load
 }
--- a/core/host/loadsums.go
+++ b/core/host/loadsums.go
@@ -35,7 +35,7 @@
 
 // excluding returns the loads of all hosts but one, plus those outside the sum.
 func (s loadSums) excluding(host ident.Host, outside loads.Digest) loads.Digest {
-	rest := s.total.Without(s.byHost[host])
+	rest := s.total.Subtract(s.byHost[host])
 	if len(outside) == 0 {
 		return rest
 	}
--- a/core/host/membership.go
+++ b/core/host/membership.go
@@ -11,15 +11,15 @@
 // tickMembers requests to join and changes the list of members when package membership decides
 // so.
 func (t *transition) tickMembers() {
-	next, due := t.seeded.membership.RequestDue(t.raft, t.started, t.now)
+	next, due := t.seeded.membership.JoinRequestDue(t.raft, t.started, t.now)
 	t.seeded.membership = next
 	if due {
 		t.requestJoin()
 	}
-	next, change, ok := t.seeded.membership.Next(t.raft, t.settings.replicaID(), t.settings.Voters, t.now)
+	next, change, ok := t.seeded.membership.NextChange(t.raft, t.settings.replicaID(), t.settings.Voters, t.now)
 	t.seeded.membership = next
 	if ok {
-		t.note(NoteMembers, string(change.Member.ID), fmt.Sprintf("remove=%t voter=%t", change.Remove, change.Member.Voter))
+		t.note(LogReplicaMembership, string(change.Member.ID), fmt.Sprintf("remove=%t voter=%t", change.Remove, change.Member.Voter))
 		t.stepRaft(change)
 	}
 }
@@ -37,7 +37,7 @@
 // the leader: a replica that lost its disk knows only the seeds, and the leader may not be one
 // of them.
 func (t *transition) handleJoin(from ident.Host, m Join) {
-	t.seeded.membership = t.seeded.membership.WithRequest(m.Identity, t.now)
+	t.seeded.membership = t.seeded.membership.WithJoinRequest(m.Identity, t.now)
 	leader := t.raft.Leader().Address()
 	if leader != "" && leader != t.settings.ID && from == m.Identity.Address() {
 		t.send(leader, m)
--- a/core/host/peers.go
+++ b/core/host/peers.go
@@ -45,7 +45,7 @@
 	p.alive = false
 	t.peers = t.peers.With(id, p)
 	t.gatherLoads()
-	t.note(NoteHostDown, string(id), "")
+	t.note(LogHostDown, string(id), "")
 	t.dropRouter(id, 0)
 	t.updateOwners()
 }
@@ -97,7 +97,7 @@
 	t.takeCrashEntries(from, b.CrashEntries)
 	t.crashesReceived(from, b.Crashes)
 	if !known || !old.alive {
-		t.note(NoteHostUp, string(from), "")
+		t.note(LogHostUp, string(from), "")
 	}
 	if known && b.Incarnation != old.heartbeat.Incarnation {
 		t.dropRouter(from, b.Incarnation)
@@ -165,7 +165,7 @@
 func (t *transition) leavingTargets() []ident.Target {
 	var out []ident.Target
 	for id, h := range t.health.All() {
-		if h.SaysLeaving(t.now) {
+		if h.ReportsLeaving(t.now) {
 			out = append(out, id)
 		}
 	}
--- a/core/host/polling.go
+++ b/core/host/polling.go
@@ -148,7 +148,7 @@
 		if ok && !c.lost && t.now.Sub(c.lastReply) > replicaTimeout {
 			c.lost = true
 			t.seeded.contacts = t.seeded.contacts.With(h, c)
-			t.note(NoteReplica, string(h), "lost")
+			t.note(LogReplicaContact, string(h), "lost")
 		}
 	}
 }
@@ -179,7 +179,7 @@
 	if !t.settings.Serves || t.draining || t.seeded.hub.serves {
 		return ""
 	}
-	return t.settings.Relay
+	return t.settings.RelayAddress
 }
 
 // sendPoll numbers and sends a poll and records when it was sent.
--- a/core/host/pollreply.go
+++ b/core/host/pollreply.go
@@ -45,7 +45,7 @@
 	t.recordNewestVersion(m.Version)
 	if m.Hosts > 0 {
 		t.seeded.hosts = m.Hosts
-		t.requests = t.requests.WithHosts(m.Hosts)
+		t.requests = t.requests.WithHostCount(m.Hosts)
 	}
 	if known {
 		t.applyConfirmation(m, sent)
@@ -64,7 +64,7 @@
 // unless the reply names a newer one.
 func (t *transition) applyConfirmation(m PollReply, sent time.Time) {
 	if t.config.Version >= m.Version {
-		t.reduceRequests(requests.Confirmed{Confirmation: confirmation.OfReply(sent, m.Age)})
+		t.reduceRequests(requests.Confirmed{Confirmation: confirmation.FromReply(sent, m.Age)})
 	}
 }
 
@@ -72,11 +72,11 @@
 func (t *transition) applyRegistrations(from ident.Host, m PollReply) []registry.Worker {
 	workers, err := registry.Unpack(m.Workers)
 	if err != nil {
-		t.note(NoteReplica, string(from), "sent registrations that cannot be read: "+err.Error())
+		t.note(LogReplicaContact, string(from), "sent registrations that cannot be read: "+err.Error())
 	}
 	workers, err = registry.Checked(workers)
 	if err != nil {
-		t.note(NoteReplica, string(from), "sent a registration that cannot be used: "+err.Error())
+		t.note(LogReplicaContact, string(from), "sent a registration that cannot be used: "+err.Error())
 	}
 	if len(workers) == 0 {
 		return nil
@@ -103,7 +103,7 @@
 	case s.newerKnownAt.IsZero():
 		s.newerKnownAt = t.now
 	}
-	t.requests = t.requests.WithNewerKnown(!s.newerKnownAt.IsZero())
+	t.requests = t.requests.WithNewerTableKnown(!s.newerKnownAt.IsZero())
 }
 
 // redirectToLeader polls the leader that the leader contact reported. A contact that knows no
@@ -150,13 +150,13 @@
 func (t *transition) recordReply(from ident.Host, m PollReply) {
 	c, known := t.seeded.contacts.Get(from)
 	if !known || c.lost {
-		t.note(NoteReplica, string(from), "found")
+		t.note(LogReplicaContact, string(from), "found")
 	}
 	c.lastReply, c.lost, c.crashList = t.now, false, m.CrashList
 	if !m.Cut {
 		c.lastUsefulReply = t.now
 		if t.seeded.hub.pollSet.Has(from) {
-			t.seeded.hub.pollSet = t.seeded.hub.pollSet.WithUseful(t.now)
+			t.seeded.hub.pollSet = t.seeded.hub.pollSet.WithUsefulReply(t.now)
 		}
 	}
 	switch {
--- a/core/host/powerloss_test.go
+++ b/core/host/powerloss_test.go
@@ -24,8 +24,8 @@
 				f := newSeededFleet(t, c.replicas, 4)
 				f.run(20 * time.Second)
 				require.True(t, f.putTable(f.leader(), f.table(1, "k"), 3*time.Second))
-				bad := host.CrashEntry{Content: crashes.ContentOf("halls", []byte("bad")), Ends: crashes.EndsToRefuse}
-				f.reduce(replicaName(0), host.Received{From: entryName(0), Message: host.Poll{
+				bad := host.CrashEntry{Content: crashes.ContentOf("halls", []byte("bad")), Ends: crashes.CrashesToRefuse}
+				f.reduce(replicaName(0), host.MessageReceived{From: entryName(0), Message: host.Poll{
 					Round: 1, Boot: 1 << 40, CrashEntries: []host.CrashEntry{bad},
 				}})
 				f.run(2 * time.Second)
--- a/core/host/read.go
+++ b/core/host/read.go
@@ -23,7 +23,7 @@
 // readResendInterval is the pause before an unanswered request is resent.
 const readResendInterval = 200 * time.Millisecond
 
-func (t *transition) handleRead(ev Read) {
+func (t *transition) handleRead(ev ReadSubmitted) {
 	t.reads = t.reads.With(ev.ID, pendingRead{deadline: ev.Deadline})
 	t.requestRead(ev.ID)
 }
@@ -67,7 +67,7 @@
 	for id, p := range t.reads.All() {
 		if p.confirmed && t.catalog.Config.Version >= p.version {
 			t.reads = t.reads.Without(id)
-			t.emit(AnswerRead{ID: id, OK: true})
+			t.emit(AnswerRead{ID: id, Current: true})
 		}
 	}
 }
--- a/core/host/registrations.go
+++ b/core/host/registrations.go
@@ -26,7 +26,7 @@
 	next, changed := t.registry.WithHeartbeat(w, t.now)
 	t.registry = next
 	if changed {
-		t.note(NoteWorker, string(w.ID), fmt.Sprintf("pool=%s state=%s seq=%d at=%s cold=%s born=%s before=%s",
+		t.note(LogWorkerRegistration, string(w.ID), fmt.Sprintf("pool=%s state=%s seq=%d at=%s cold=%s born=%s before=%s",
 			w.Pool, w.State, w.Seq, w.Address, w.Cold, w.Born, before.Born))
 	}
 }
@@ -36,7 +36,7 @@
 	next, changed := t.registry.WithGone(id, born, t.now)
 	t.registry = next
 	if changed {
-		t.note(NoteWorker, string(id), fmt.Sprintf("state=gone born=%s", born))
+		t.note(LogWorkerRegistration, string(id), fmt.Sprintf("state=gone born=%s", born))
 	}
 }
 
@@ -80,7 +80,7 @@
 // rejectHeartbeat counts and logs an invalid heartbeat.
 func (t *transition) rejectHeartbeat(id ident.Target, reason string) {
 	t.counters.HeartbeatsInvalid++
-	t.note(NoteWorker, fmt.Sprintf("%.80q", id), "heartbeat not taken: "+reason)
+	t.note(LogWorkerRegistration, fmt.Sprintf("%.80q", id), "heartbeat not taken: "+reason)
 }
 
 // tickRegistry scans all registrations and clients, on a replica. It expires silent workers and
@@ -90,7 +90,7 @@
 		return
 	}
 	t.seeded.registryScannedAt = t.now
-	timeout := t.settings.SilentAfter
+	timeout := t.settings.WorkerTimeout
 	if timeout == 0 {
 		timeout = defaultWorkerTimeout
 	}
--- a/core/host/relay.go
+++ b/core/host/relay.go
@@ -20,7 +20,7 @@
 func (t *transition) handleHeartbeat(w registry.Worker) {
 	if reason := t.invalidReason(w); reason != "" {
 		t.rejectHeartbeat(w.ID, reason)
-		t.answerHeartbeat(HeartbeatAnswer{Invalid: reason})
+		t.answerHeartbeat(HeartbeatAnswer{InvalidReason: reason})
 		return
 	}
 	if t.settings.IsReplica() {
@@ -29,14 +29,14 @@
 			return
 		}
 		t.registerHeartbeat(w)
-		t.answerHeartbeat(HeartbeatAnswer{Taken: true, Relay: relay.For(w, t.seeded.relays)})
+		t.answerHeartbeat(HeartbeatAnswer{Accepted: true, Relay: relay.AddressFor(w, t.seeded.relays)})
 		return
 	}
 	accepted := t.acceptForRelay(w)
 	if accepted {
 		t.seeded.relay = t.seeded.relay.WithHeartbeats(w)
 	}
-	t.answerHeartbeat(HeartbeatAnswer{Taken: accepted})
+	t.answerHeartbeat(HeartbeatAnswer{Accepted: accepted})
 }
 
 // handleDeregistration processes a worker's report that it is stopping. Only replicas accept
@@ -45,7 +45,7 @@
 	gone := registry.Worker{ID: ev.Worker, State: registry.Gone, Born: ev.Born}
 	if err := gone.Check(); err != nil {
 		t.rejectHeartbeat(ev.Worker, err.Error())
-		t.emit(HeartbeatAnswer{Invalid: err.Error()})
+		t.emit(HeartbeatAnswer{InvalidReason: err.Error()})
 		return
 	}
 	// An unknown worker is not announced to hosts, but it is recorded if there is room, so that
@@ -54,19 +54,19 @@
 	if accepted && t.registry.HasRoom(ev.Worker) {
 		t.deregister(ev.Worker, ev.Born)
 	}
-	t.emit(HeartbeatAnswer{Taken: accepted})
+	t.emit(HeartbeatAnswer{Accepted: accepted})
 }
 
 // answerHeartbeat answers a worker and counts the answer.
 func (t *transition) answerHeartbeat(a HeartbeatAnswer) {
 	switch {
-	case a.Invalid != "":
-	case !a.Taken:
+	case a.InvalidReason != "":
+	case !a.Accepted:
 		t.counters.HeartbeatsDeclined++
 	case a.Relay != "":
 		t.counters.HeartbeatsRedirected++
 	}
-	if a.Taken {
+	if a.Accepted {
 		t.counters.Heartbeats++
 	}
 	t.emit(a)
@@ -77,14 +77,14 @@
 // the replicas.
 func (t *transition) acceptForRelay(w registry.Worker) bool {
 	known, isKnown := t.requests.Worker(w.ID)
-	if !relay.SaysNothingNew(w, known, isKnown) || t.draining || t.seeded.hub.serves {
+	if !relay.CanAcknowledge(w, known, isKnown) || t.draining || t.seeded.hub.serves {
 		return false
 	}
-	if !t.seeded.relay.HasRoom(w.ID, t.requests.KnownWorkers(), t.seeded.hosts) {
+	if !t.seeded.relay.HasCapacity(w.ID, t.requests.WorkerCount(), t.seeded.hosts) {
 		return false
 	}
-	contact := relay.Contact{InTouch: t.replicaRepliedWithin(relay.ReplicaTimeout), Ever: t.replicaEverReplied()}
-	next, accepted := t.seeded.relay.Keeps(w.ID, contact, t.now)
+	contact := relay.ReplicaContact{Recent: t.replicaRepliedWithin(relay.ReplicaTimeout), Ever: t.replicaEverReplied()}
+	next, accepted := t.seeded.relay.Accept(w.ID, contact, t.now)
 	t.seeded.relay = next
 	return accepted
 }
@@ -115,14 +115,14 @@
 // by receiver. Each worker is reported to the replica that registered it, so that no two
 // replicas report the same worker, or to the default receiver if that replica is silent.
 func (t *transition) dequeueHeartbeats(polled []ident.Host) map[ident.Host][]registry.Worker {
-	if !t.seeded.relay.Due(t.seeded.hub.serves, t.now) {
+	if !t.seeded.relay.ReportDue(t.seeded.hub.serves, t.now) {
 		return nil
 	}
-	next, workers := t.seeded.relay.Take(t.now)
+	next, workers := t.seeded.relay.TakeReport(t.now)
 	t.seeded.relay = next
 	out := map[ident.Host][]registry.Worker{}
 	for _, w := range workers {
-		to := t.requests.ReportedBy(w.ID)
+		to := t.requests.RegistrationSource(w.ID)
 		if c, ok := t.seeded.contacts.Get(to); !ok || c.lost || !slices.Contains(polled, to) {
 			to = t.defaultHeartbeatReceiver()
 		}
@@ -142,5 +142,5 @@
 
 // selectRelays updates the relays of the fleet, on a replica.
 func (t *transition) selectRelays(hosts []hubs.Host) {
-	t.seeded.relays = relay.Name(hosts, t.registry.Ready(), t.now.Sub(t.started))
+	t.seeded.relays = relay.Select(hosts, t.registry.Ready(), t.now.Sub(t.started))
 }
--- a/core/host/relay_test.go
+++ b/core/host/relay_test.go
@@ -60,7 +60,7 @@
 	for i := range manyWorkers {
 		w := f.worker(i, registry.Ready)
 		if relay, ok := f.relayOf[w.ID]; ok {
-			if f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: w}).Taken {
+			if f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: w}).Accepted {
 				continue
 			}
 			delete(f.relayOf, w.ID)
@@ -130,14 +130,14 @@
 	f := newRelayedFleet(t, 2)
 	relay := f.relayOf[workerName(7)]
 	f.seq++
-	require.False(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: f.worker(7, registry.Draining)}).Taken)
-	require.False(t, f.deliverWorkerEvent(relay, host.DeregistrationReceived{Worker: workerName(7)}).Taken)
+	require.False(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: f.worker(7, registry.Draining)}).Accepted)
+	require.False(t, f.deliverWorkerEvent(relay, host.DeregistrationReceived{Worker: workerName(7)}).Accepted)
 	moved := f.worker(7, registry.Ready)
 	moved.Address = "10.9.9.9:80"
-	require.False(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: moved}).Taken)
+	require.False(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: moved}).Accepted)
 	stranger := f.worker(7, registry.Ready)
 	stranger.ID = "stranger"
-	require.True(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: stranger}).Taken, "its first word to a replica may be under way")
+	require.True(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: stranger}).Accepted, "its first word to a replica may be under way")
 	f.run(3 * time.Second)
 	for i := range 2 {
 		w, ok := f.states[entryName(i)].Requests().Worker("stranger")
@@ -146,11 +146,11 @@
 
 	require.Empty(t, f.deliverWorkerEvent(replicaName(0), host.HeartbeatReceived{Worker: f.worker(7, registry.Draining)}).Relay)
 	f.run(time.Second)
-	require.False(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: f.worker(7, registry.Ready)}).Taken, "a leaving worker is no longer known as ready")
+	require.False(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: f.worker(7, registry.Ready)}).Accepted, "a leaving worker is no longer known as ready")
 
 	f.partition(relay, true)
 	f.run(4 * time.Second)
-	require.False(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: f.worker(8, registry.Ready)}).Taken, "a relay that no replica answers")
+	require.False(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: f.worker(8, registry.Ready)}).Accepted, "a relay that no replica answers")
 }
 
 // TestSmallFleetsHaveNoRelays guards against relays being selected in a small fleet.
@@ -163,7 +163,7 @@
 	f.run(2 * time.Second)
 	f.heartbeatAnswers = nil
 	f.sendHeartbeat(replicaName(0), "w-0", registry.Ready, 2)
-	require.Equal(t, []host.HeartbeatAnswer{{Taken: true}}, f.heartbeatAnswers)
+	require.Equal(t, []host.HeartbeatAnswer{{Accepted: true}}, f.heartbeatAnswers)
 }
 
 // TestRegistrationsAreSentAtABoundedRate registers many workers at one replica. It must send a
@@ -218,7 +218,7 @@
 		seq++
 		f.heartbeatAnswers = nil
 		f.sendHeartbeat(entryName(0), "w1", registry.Ready, seq)
-		if !f.heartbeatAnswers[0].Taken {
+		if !f.heartbeatAnswers[0].Accepted {
 			sentBack = append(sentBack, f.now)
 		}
 		f.run(1200 * time.Millisecond)
--- a/core/host/replaced.go
+++ b/core/host/replaced.go
@@ -26,10 +26,10 @@
 // this hub.
 func (t *transition) replacedReport() []ReplacedWorker {
 	replacements := t.seeded.replacements
-	for _, replaced := range t.requests.Replaced().Lately(t.now) {
+	for _, replaced := range t.requests.Replacements().Recent(t.now) {
 		replacements = replacements.With(replaced, t.now)
 	}
-	recent := replacements.Lately(t.now)
+	recent := replacements.Recent(t.now)
 	out := make([]ReplacedWorker, 0, len(recent))
 	for _, one := range recent {
 		out = append(out, ReplacedWorker{Worker: one.Worker, Born: one.Born, Age: t.now.Sub(one.SeenAt)})
@@ -44,14 +44,14 @@
 		if !t.settings.IsReplica() {
 			// Only replicas, which receive the worker's heartbeats, can tell whether it is
 			// still alive, so a hub just forwards the report.
-			replacement := requests.Replaced{Worker: r.Worker, Born: r.Born, SeenAt: seenAt}
+			replacement := requests.Replacement{Worker: r.Worker, Born: r.Born, SeenAt: seenAt}
 			t.seeded.replacements = t.seeded.replacements.With(replacement, t.now)
 			continue
 		}
 		next, changed := t.registry.WithReplaced(r.Worker, r.Born, seenAt)
 		t.registry = next
 		if changed {
-			t.note(NoteWorker, string(r.Worker), fmt.Sprintf("state=silent born=%s, as another process answers there, by %s", r.Born, from))
+			t.note(LogWorkerRegistration, string(r.Worker), fmt.Sprintf("state=silent born=%s, as another process answers there, by %s", r.Born, from))
 		}
 	}
 }
--- a/core/host/replaced_test.go
+++ b/core/host/replaced_test.go
@@ -33,7 +33,7 @@
 		sent, ok := f.sendRequest(finder, "/x/1", "k").(requests.Dispatch)
 		require.True(t, ok)
 		f.reduce(finder, host.RequestEvent{Event: requests.AttemptEnded{
-			Request: sent.Request, Attempt: sent.Attempt, Result: outcome.Declined{Leaving: true}, Wanted: true,
+			Request: sent.Request, Attempt: sent.Attempt, Result: outcome.Declined{Leaving: true}, CallerWaiting: true,
 		}})
 		f.run(2 * time.Second)
 		for i := range entries {
@@ -57,7 +57,7 @@
 	for _, late := range []host.ReplacedWorker{
 		{Worker: "w1", Born: firstIncarnation, Age: time.Second}, {Worker: "w1", Born: firstIncarnation - 1}, {Worker: "unknown"},
 	} {
-		f.reduce(replicaName(0), host.Received{From: entryName(0), Message: host.Poll{
+		f.reduce(replicaName(0), host.MessageReceived{From: entryName(0), Message: host.Poll{
 			Round: 1, Boot: 1 << 40, Replaced: []host.ReplacedWorker{late},
 		}})
 		known, _ := f.states[replicaName(0)].Registry().Get(ident.Target("w1"))
--- a/core/host/replica.go
+++ b/core/host/replica.go
@@ -63,9 +63,9 @@
 	t.leader = e.Leader
 	// Forwarded writes of an older term may be lost. Their origins resend them.
 	t.origins = table.Table[string, ident.Host]{}
-	t.seeded.inForce = t.seeded.inForce.WithoutAnswers()
-	t.seeded.zonesInForce = t.seeded.zonesInForce.WithoutAnswers()
-	t.note(NoteRole, string(t.settings.ID), fmt.Sprintf("%s term=%d leader=%s", e.Role, e.Term, e.Leader))
+	t.seeded.inForce = t.seeded.inForce.WithoutPendingWrites()
+	t.seeded.zonesInForce = t.seeded.zonesInForce.WithoutPendingWrites()
+	t.note(LogReplicaRole, string(t.settings.ID), fmt.Sprintf("%s term=%d leader=%s", e.Role, e.Term, e.Leader))
 }
 
 func (t *transition) applyEntries(entries []raft.Entry) {
@@ -106,7 +106,7 @@
 	p, isOwn := t.writes.Get(w.ID)
 	switch {
 	case r.Code == catalog.OK && t.mustBeInForce(w) && forwarded:
-		t.holdWrite(inforce.Answer{ID: w.ID, To: origin, Version: t.committedVersion(w), Result: r}, changesZone(w))
+		t.holdWrite(inforce.PendingWrite{ID: w.ID, To: origin, Version: t.committedVersion(w), Result: r}, changesZone(w))
 	case r.Code == catalog.OK && t.mustBeInForce(w) && isOwn:
 		t.awaitInForce(p)
 	case forwarded:
@@ -126,7 +126,7 @@
 	t.zonesCommitted(zonesBefore)
 	t.seeded.inForce = t.seeded.inForce.WithCommit(t.now)
 	t.applyConfig(c.Config)
-	t.note(NoteStateLoad, string(t.settings.ID), fmt.Sprintf("index=%d version=%d", s.Index, c.Config.Version))
+	t.note(LogStateRestored, string(t.settings.ID), fmt.Sprintf("index=%d version=%d", s.Index, c.Config.Version))
 }
 
 const (
--- a/core/host/seeded_test.go
+++ b/core/host/seeded_test.go
@@ -130,24 +130,24 @@
 	f.starts++
 	s := host.Settings{
 		ID: id, Zone: f.zoneOf(id), Seeds: f.seeds, Incarnation: f.starts, Voters: f.voters, Serves: f.disks[id] == nil,
-		Requests: requests.Settings{Zone: f.zoneOf(id), StartTime: f.entryStart},
+		Requests: requests.Settings{Zone: f.zoneOf(id), StartupTimeout: f.entryStart},
 	}
 	d := f.disks[id]
 	if d != nil {
 		s.Identity = d.identity
 	} else {
-		s.Relay = "relay at " + string(id)
+		s.RelayAddress = "relay at " + string(id)
 	}
 	state := host.New(s, 7, f.now)
 	if d != nil {
 		var err error
-		state, err = state.WithReplica(d.boot, f.now)
+		state, err = state.WithReplicaState(d.boot, f.now)
 		require.NoError(f.t, err)
 		aged := slices.Clone(d.crashes)
 		for i := range aged {
 			aged[i].Age += f.now.Sub(d.crashesSavedAt)
 		}
-		state = state.WithCrashes(aged, f.now)
+		state = state.WithCrashList(aged, f.now)
 	}
 	f.states[id], f.down[id] = state, false
 }
@@ -183,12 +183,12 @@
 				f.wire = append(f.wire, seededPacket{id, to, m})
 			}
 			f.reduce(id, host.EntriesPersisted{Persisted: raft.Persisted{Index: e.Persist.Index, Term: e.Persist.Term}})
-		case host.KeepCrashes:
+		case host.PersistCrashes:
 			f.disks[id].crashes, f.disks[id].crashesSavedAt = e.Entries, f.now
 		case host.AnswerWrite:
 			f.writes[e.ID] = e
 		case host.AnswerRead:
-			f.reads[e.ID] = e.OK
+			f.reads[e.ID] = e.Current
 		case host.RequestDecision:
 			f.decisions = append(f.decisions, e.Decision)
 			if f.onDecision != nil {
@@ -240,7 +240,7 @@
 	if f.onDeliver != nil {
 		f.onDeliver(p)
 	}
-	f.reduce(p.to, host.Received{From: p.from, Message: p.message})
+	f.reduce(p.to, host.MessageReceived{From: p.from, Message: p.message})
 }
 
 // deliverDue delivers the delayed messages that are due.
@@ -285,7 +285,7 @@
 func (f *seededFleet) putTable(at ident.Host, g config.RouteTable, limit time.Duration) bool {
 	f.starts++
 	id := fmt.Sprintf("write-%d", f.starts)
-	f.reduce(at, host.Submitted{
+	f.reduce(at, host.WriteSubmitted{
 		Write:    catalog.Write{ID: id, Command: catalog.Edit{Change: config.PutRouteTable{Gateway: g}}},
 		Deadline: f.now.Add(limit),
 	})
@@ -356,7 +356,7 @@
 		require.Equal(t, "document 9", string(f.states[replicaName(i)].Config().Gateway.Source))
 	}
 	require.False(t, f.putTable(replicaName(0), config.RouteTable{Number: 12, Routes: []config.Route{{Host: "h"}}}, time.Second))
-	require.EqualValues(t, 9, f.states[entryName(0)].Requests().Number())
+	require.EqualValues(t, 9, f.states[entryName(0)].Requests().TableNumber())
 }
 
 // TestEntryLeavesAReplicaThatKnowsNoLeader partitions the leader from the other replicas only.
@@ -377,7 +377,7 @@
 	id := f.commitTable(leader, f.table(2, "k"))
 	f.run(time.Second)
 	for i := range 4 {
-		require.EqualValues(t, 2, f.states[entryName(i)].Requests().Number(), "entry %d", i)
+		require.EqualValues(t, 2, f.states[entryName(i)].Requests().TableNumber(), "entry %d", i)
 		require.True(t, f.states[entryName(i)].Ready(), "entry %d", i)
 	}
 	require.True(t, f.isAcknowledged(id))
@@ -466,7 +466,7 @@
 	require.NotEmpty(t, f.leader(), "the newcomer does not vote")
 	require.True(t, f.putTable(replicaName(7), f.table(6, "k"), 2*time.Second))
 	f.run(time.Second)
-	require.EqualValues(t, 6, f.states[entryName(0)].Requests().Number())
+	require.EqualValues(t, 6, f.states[entryName(0)].Requests().TableNumber())
 }
 
 // TestReadIsConfirmedByTheNewestLeader partitions the leader. It must not answer reads once
@@ -476,15 +476,15 @@
 	f.run(5 * time.Second)
 	old := f.leader()
 	require.True(t, f.putTable(old, f.table(1, "k"), time.Second))
-	f.reduce(replicaName(0), host.Read{ID: "first", Deadline: f.now.Add(time.Second)})
+	f.reduce(replicaName(0), host.ReadSubmitted{ID: "first", Deadline: f.now.Add(time.Second)})
 	f.run(300 * time.Millisecond)
 	require.True(t, f.reads["first"])
 	f.partition(old, true)
 	f.run(4 * time.Second)
 	leader := f.leader()
 	require.True(t, f.putTable(leader, f.table(2, "k"), time.Second))
-	f.reduce(old, host.Read{ID: "stale", Deadline: f.now.Add(time.Second)})
-	f.reduce(leader, host.Read{ID: "new", Deadline: f.now.Add(time.Second)})
+	f.reduce(old, host.ReadSubmitted{ID: "stale", Deadline: f.now.Add(time.Second)})
+	f.reduce(leader, host.ReadSubmitted{ID: "new", Deadline: f.now.Add(time.Second)})
 	f.run(1500 * time.Millisecond)
 	require.False(t, f.reads["stale"])
 	require.True(t, f.reads["new"])
@@ -547,7 +547,7 @@
 	}
 	require.True(t, f.putTable(f.leader(), f.table(2, "k"), time.Second))
 	f.run(time.Second)
-	require.EqualValues(t, 2, f.states[entryName(0)].Requests().Number())
+	require.EqualValues(t, 2, f.states[entryName(0)].Requests().TableNumber())
 }
 
 // TestRemovedReplicaRejoins partitions a non-voting replica until the leader removes it. Once
@@ -590,7 +590,7 @@
 		}
 	}
 	before := f.states[leader].Raft().Log().Last()
-	f.reduce(leader, host.Submitted{
+	f.reduce(leader, host.WriteSubmitted{
 		Write:    catalog.Write{ID: "own", Command: catalog.Edit{Change: config.PutRouteTable{Gateway: f.table(1, "k")}}},
 		Deadline: f.now.Add(5 * time.Second),
 	})
@@ -631,7 +631,7 @@
 	require.True(t, f.states[entryName(1)].Ready())
 	require.IsType(t, requests.Dispatch{}, f.sendRequest(entryName(0), "/x/1", "k"))
 	f.run(requests.DefaultKeyLease)
-	require.True(t, f.sendRequest(entryName(0), "/x/1", "k").(requests.Finish).Verdict.Elsewhere)
+	require.True(t, f.sendRequest(entryName(0), "/x/1", "k").(requests.Finish).Verdict.TryOtherHost)
 	f.partition(entryName(0), false)
 	f.run(time.Second)
 	require.True(t, f.states[entryName(0)].Ready())
--- a/core/host/times_test.go
+++ b/core/host/times_test.go
@@ -19,12 +19,12 @@
 func TestTimeoutsAreConsistent(t *testing.T) {
 	const heartbeat = 1200 * time.Millisecond
 	require.Equal(t, WorkerTimeout(heartbeat), defaultWorkerTimeout)
-	require.Less(t, relay.Interval+relay.ReplicaTimeout+heartbeat, defaultWorkerTimeout)
+	require.Less(t, relay.ReportInterval+relay.ReplicaTimeout+heartbeat, defaultWorkerTimeout)
 	require.Greater(t, relay.ReplicaTimeout, maxPollInterval)
 	require.Greater(t, replicaTimeout, 2*maxPollInterval)
 	require.Greater(t, clientLifetime, 2*maxPollInterval)
 	require.Greater(t, clientLifetime, groupReportInterval+maxPollInterval)
-	require.Equal(t, hubs.FailedAfter, maxLeaderWait)
+	require.Equal(t, hubs.FailureTimeout, maxLeaderWait)
 	require.Greater(t, fallbackAfter, leaderTimeoutIntervals*minPollInterval)
 	require.Equal(t, requests.DefaultKeyLease, 2*maxLeaderWait)
 	require.Less(t, balancerDelay, requests.DefaultKeyLease)
