--- a/peers/bench_test.go
+++ b/peers/bench_test.go
@@ -15,10 +15,9 @@
 	"github.com/yardhall/yardhall/peers"
 )
 
-// benchWorkers is the size of a large fleet of today.
 const benchWorkers = 144
 
-// benchServer takes messages and tells of each.
+// benchServer starts a server that signals each message on got.
 func benchServer(b *testing.B) (address ident.Host, got chan struct{}) {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,8 +33,8 @@
 	return ident.Host(l.Addr().String()), got
 }
 
-// benchAnswer is an answer with the loads and registrations of benchWorkers.
-func benchAnswer() host.PollReply {
+// benchReply returns a poll reply with the loads and registrations of benchWorkers workers.
+func benchReply() host.PollReply {
 	m, counts := host.PollReply{Round: 1, Fresh: true, Summed: true}, loads.Counts{}
 	workers := make([]registry.Worker, 0, benchWorkers)
 	for i := range benchWorkers {
@@ -47,11 +46,10 @@
 	return m
 }
 
-// BenchmarkConnect is what both ends spend on a new connection and its first
-// answer, with the loads and registrations of 144 workers.
+// BenchmarkConnect measures a new connection and its first message, at both ends.
 func BenchmarkConnect(b *testing.B) {
 	address, got := benchServer(b)
-	m := benchAnswer()
+	m := benchReply()
 	for b.Loop() {
 		pool := peers.NewPool(peers.Options{Self: "c", Fleet: "f", Key: "k", MaxMessage: 1 << 20})
 		pool.Send(address, m)
@@ -64,10 +62,10 @@
 	}
 }
 
-// BenchmarkMessage is the same message on a connection that stands.
+// BenchmarkMessage measures the same message on an established connection.
 func BenchmarkMessage(b *testing.B) {
 	address, got := benchServer(b)
-	m := benchAnswer()
+	m := benchReply()
 	counters := &peers.Counters{}
 	pool := peers.NewPool(peers.Options{Self: "c", Fleet: "f", Key: "k", MaxMessage: 1 << 20, Counters: counters})
 	defer pool.Close()
--- a/peers/boots.go
+++ b/peers/boots.go
@@ -8,16 +8,15 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// BootTracker are the newest starts of other hosts' processes, as these told when they
-// called. A connection to an earlier start leads nowhere: a host that lost its power
-// does not close it. The zero value knows none.
+// BootTracker holds the latest known incarnation of each other host. A connection to an earlier
+// incarnation is dead, but a host that lost power does not close it. The zero value is empty.
 type BootTracker struct {
 	mu     sync.Mutex
 	byHost map[ident.Host]uint64
 }
 
-// heard takes the start of a host's process.
-func (b *BootTracker) heard(from ident.Host, boot uint64) {
+// advance records the incarnation of a host that has connected, if it is later than the known one.
+func (b *BootTracker) advance(from ident.Host, boot uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.byHost == nil {
@@ -28,9 +27,9 @@
 	}
 }
 
-// answered takes the start of the process that has just answered a call, whatever was
-// heard before: the clock that starts are told by may have been set back.
-func (b *BootTracker) answered(of ident.Host, boot uint64) {
+// set records the incarnation that has just responded to a call, even if it is earlier than the
+// known one: incarnations come from the host's clock, which may have been set back.
+func (b *BootTracker) set(of ident.Host, boot uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.byHost == nil {
@@ -39,9 +38,9 @@
 	b.byHost[of] = boot
 }
 
-// isOver tells whether a host has told of a later start than the given one; 0 is one
-// that is not known.
-func (b *BootTracker) isOver(of ident.Host, boot uint64) bool {
+// isSuperseded reports whether a later incarnation of the host is known. An incarnation of 0 is
+// unknown and never superseded.
+func (b *BootTracker) isSuperseded(of ident.Host, boot uint64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return boot != 0 && boot < b.byHost[of]
--- a/peers/codec.go
+++ b/peers/codec.go
@@ -11,49 +11,49 @@
 	"github.com/pkg/errors"
 )
 
-// errTooLarge ends a connection whose peer sends more than is allowed.
+// errTooLarge closes a connection whose peer exceeds the message size limit.
 var errTooLarge = errors.New("message is too large")
 
-// boundedReader gives at most limit bytes between two resets.
+// boundedReader returns at most limit bytes between two calls of reset.
 type boundedReader struct {
-	r     *bufio.Reader
-	limit int64
-	left  int64
+	r         *bufio.Reader
+	limit     int64
+	remaining int64
 }
 
 func newBoundedReader(r io.Reader, limit int64) *boundedReader {
-	return &boundedReader{r: bufio.NewReader(r), limit: limit, left: limit}
+	return &boundedReader{r: bufio.NewReader(r), limit: limit, remaining: limit}
 }
 
-func (b *boundedReader) reset() { b.left = b.limit }
+func (b *boundedReader) reset() { b.remaining = b.limit }
 
 // Read implements io.Reader.
 func (b *boundedReader) Read(p []byte) (int, error) {
-	if b.left <= 0 {
+	if b.remaining <= 0 {
 		return 0, errTooLarge
 	}
-	if int64(len(p)) > b.left {
-		p = p[:b.left]
+	if int64(len(p)) > b.remaining {
+		p = p[:b.remaining]
 	}
 	n, err := b.r.Read(p)
-	b.left -= int64(n)
+	b.remaining -= int64(n)
 	return n, err // io.Reader must return io.EOF itself.
 }
 
-// ReadByte implements io.ByteReader, so that gob adds no buffer of its own.
+// ReadByte implements io.ByteReader, so that gob does not wrap the reader in a buffer of its own.
 func (b *boundedReader) ReadByte() (byte, error) {
-	if b.left <= 0 {
+	if b.remaining <= 0 {
 		return 0, errTooLarge
 	}
 	c, err := b.r.ReadByte()
 	if err == nil {
-		b.left--
+		b.remaining--
 	}
 	return c, err // io.ByteReader must return io.EOF itself.
 }
 
-// gobCodec is net/rpc's gob encoding with a bound on each message. It serves
-// both sides.
+// gobCodec is the gob codec of net/rpc with a size limit for received messages, for clients and
+// servers.
 type gobCodec struct {
 	conn io.ReadWriteCloser
 	in   *boundedReader
@@ -94,7 +94,7 @@
 
 // WriteResponse implements rpc.ServerCodec.
 func (c *gobCodec) WriteResponse(r *rpc.Response, body any) error {
-	// The caller finds its call by Seq and does not need the name back.
+	// The client matches responses by Seq, so the name is omitted to save bytes.
 	r.ServiceMethod = ""
 	return c.write(r, body)
 }
--- a/peers/first_test.go
+++ b/peers/first_test.go
@@ -15,17 +15,17 @@
 	"github.com/yardhall/yardhall/peers"
 )
 
-// TestReplicasDoNotWaitBehindOtherHosts has many hosts call at the same time and say
-// nothing for long: one that goes first is heard meanwhile, the others in turn.
-func TestReplicasDoNotWaitBehindOtherHosts(t *testing.T) {
+// TestReplicasBypassHandshakeLimit guards against replicas that wait for a handshake slot while
+// other hosts' connections, here silent ones, occupy all of them.
+func TestReplicasBypassHandshakeLimit(t *testing.T) {
 	replica := netip.MustParseAddr("127.0.0.2")
 	o := options("b")
 	o.SkipHandshakeLimit = func(ip netip.Addr) bool { return ip == replica }
 	o.HandshakeSlotTimeout = time.Hour
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	heard := make(chan ident.Host, 1024)
-	server := peers.NewServer(o, func(from ident.Host, _ host.Message) { heard <- from })
+	received := make(chan ident.Host, 1024)
+	server := peers.NewServer(o, func(from ident.Host, _ host.Message) { received <- from })
 	go func() { _ = server.Serve(l) }()
 	t.Cleanup(func() {
 		_ = l.Close()
@@ -59,9 +59,9 @@
 	pool := peers.NewPool(first)
 	defer pool.Close()
 	pool.Send(address, host.Poll{Version: 2})
-	require.EqualValues(t, "replica", <-heard, "all passes are out, and more hosts wait for one")
+	require.EqualValues(t, "replica", <-received, "all handshake slots are taken and more hosts wait")
 	for _, conn := range silent {
 		require.NoError(t, conn.Close())
 	}
-	require.EqualValues(t, "other", <-heard)
+	require.EqualValues(t, "other", <-received)
 }
--- a/peers/forms_test.go
+++ b/peers/forms_test.go
@@ -17,16 +17,17 @@
 	"github.com/yardhall/yardhall/core/zones"
 )
 
-// addForms adds records of types that the golden file lacks; it never replaces one.
-var addForms = flag.Bool("add-forms", false, "add the forms of new types to the golden file")
+// addForms adds the encodings of types that the golden file lacks; it never replaces any.
+var addForms = flag.Bool("add-forms", false, "add the encodings of new types to the golden file")
 
 const wireGolden = "testdata/wire.golden"
 
-// carrier carries a value as messages carry what they hold: behind an interface.
+// carrier encodes a value as an interface, as a Batch does its messages. Its name is part of the
+// golden file.
 type carrier struct{ Value any }
 
-// chosenFor returns the first wire type that fits an interface.
-func chosenFor(t reflect.Type) any {
+// firstImplementing returns a value of the first wire type that implements t, or nil.
+func firstImplementing(t reflect.Type) any {
 	for _, w := range host.WireTypes() {
 		if reflect.TypeOf(w.Value).Implements(t) {
 			return w.Value
@@ -35,8 +36,9 @@
 	return nil
 }
 
-func filled(v any, leftOut ...string) any {
-	return formtest.Filled(reflect.TypeOf(v), chosenFor, leftOut...).Interface()
+// filledValue returns a value of v's type with all fields set but those in leftOut.
+func filledValue(v any, leftOut ...string) any {
+	return formtest.Filled(reflect.TypeOf(v), firstImplementing, leftOut...).Interface()
 }
 
 func gobForm(name string, want any) formtest.Form {
@@ -55,23 +57,23 @@
 	}
 }
 
-// TestMessagesOfEarlierProgramsAreRead decodes what the program wrote that first sent a
-// message.
-func TestMessagesOfEarlierProgramsAreRead(t *testing.T) {
+// TestMessagesOfEarlierVersionsAreDecoded guards against changes of messages that earlier versions
+// have sent; the golden file holds each encoding from its first version on.
+func TestMessagesOfEarlierVersionsAreDecoded(t *testing.T) {
 	registerOnce.Do(registerTypes)
 	text, err := os.ReadFile(wireGolden)
 	require.True(t, err == nil || *addForms, "%v", err)
 	types := host.WireTypes()
 	forms := make([]formtest.Form, 0, len(types))
 	for _, w := range types {
-		// The first programs that sent route tables knew no cold workers.
-		name, value := "type-"+w.Name, filled(w.Value, "ColdPerSecond")
+		// The first versions that sent route tables did not support cold workers.
+		name, value := "type-"+w.Name, filledValue(w.Value, "ColdPerSecond")
 		if whole, ok := w.Value.(host.WholeConfig); ok {
-			forms = append(forms, gobForm(name+"-cold", carrier{Value: filled(whole)}))
+			forms = append(forms, gobForm(name+"-cold", carrier{Value: filledValue(whole)}))
 		}
 		if poll, ok := value.(host.Poll); ok {
-			// The first programs that sent polls reported neither replaced workers nor crashes nor
-			// drained zones.
+			// The first versions that sent polls did not report replaced workers, crashes and drained
+			// zones.
 			forms = append(forms, gobForm(name+"-zones", carrier{Value: poll}))
 			poll.KnowsZones, poll.Zones, poll.ZonesInForce = false, 0, 0
 			forms = append(forms, gobForm(name+"-crashes", carrier{Value: poll}))
@@ -109,7 +111,7 @@
 		}
 		forms = append(forms, gobForm(name, carrier{Value: value}))
 	}
-	forms = append(forms, gobForm("hello", filled(Hello{})), gobForm("batch", filled(Batch{}, "KnowsZones")), gobForm("ack", filled(Ack{})))
+	forms = append(forms, gobForm("hello", filledValue(Hello{})), gobForm("batch", filledValue(Batch{}, "KnowsZones")), gobForm("ack", filledValue(Ack{})))
 	all, err := formtest.Check(string(text), *addForms, forms)
 	require.NoError(t, err)
 	if *addForms {
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -29,27 +29,27 @@
 	return peers.Options{Self: self, Fleet: "f", Key: "the key of the fleet", MaxMessage: 1 << 16, Counters: &peers.Counters{}}
 }
 
-// serve starts a server that counts what arrives.
+// serve starts a server that counts the messages it receives.
 func serve(t *testing.T, o peers.Options) (string, *atomic.Int32) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	var taken atomic.Int32
+	var received atomic.Int32
 	s := peers.NewServer(o, func(from ident.Host, _ host.Message) {
 		if from == "" {
-			t.Error("a message of a host that has not said hello")
+			t.Error("message delivered before hello")
 		}
-		taken.Add(1)
+		received.Add(1)
 	})
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() {
 		_ = l.Close()
 		s.Close()
 	})
-	return l.Addr().String(), &taken
+	return l.Addr().String(), &received
 }
 
-// send sends messages until some arrive or it is clear that none will.
-func send(address string, o peers.Options, m host.Message, taken *atomic.Int32) int {
+// sendSome sends 15 messages over 300 ms and returns how many the server has received.
+func sendSome(address string, o peers.Options, m host.Message, received *atomic.Int32) int {
 	p := peers.NewPool(o)
 	defer p.Close()
 	p.SetAddresses([]config.Host{{ID: "b", Address: address}})
@@ -57,42 +57,44 @@
 		p.Send("b", m)
 		time.Sleep(20 * time.Millisecond)
 	}
-	return int(taken.Load())
+	return int(received.Load())
 }
 
-// arrives sends messages until one arrives, however busy the machine is.
-func arrives(t *testing.T, address string, o peers.Options, m host.Message, taken *atomic.Int32) {
+// requireArrival sends messages until one arrives.
+func requireArrival(t *testing.T, address string, o peers.Options, m host.Message, received *atomic.Int32) {
 	t.Helper()
 	p := peers.NewPool(o)
 	defer p.Close()
 	p.SetAddresses([]config.Host{{ID: "b", Address: address}})
-	before := taken.Load()
+	before := received.Load()
 	require.Eventually(t, func() bool {
 		p.Send("b", m)
-		return taken.Load() > before
+		return received.Load() > before
 	}, time.Minute, 20*time.Millisecond)
 }
 
 var beat = host.PeerHeartbeat{Beat: host.Heartbeat{Host: "a", Counter: 1}}
 
-func TestOnlyHostsOfTheFleetAreHeard(t *testing.T) {
-	address, taken := serve(t, options("b"))
+// TestOnlyHostsOfTheFleetAreAccepted guards against messages from connections with a wrong key,
+// another fleet or no hello at all.
+func TestOnlyHostsOfTheFleetAreAccepted(t *testing.T) {
+	address, received := serve(t, options("b"))
 	wrong := options("a")
 	wrong.Key = "another key of a fleet"
-	require.Zero(t, send(address, wrong, beat, taken))
+	require.Zero(t, sendSome(address, wrong, beat, received))
 	other := options("a")
 	other.Fleet = "restored"
-	require.Zero(t, send(address, other, beat, taken))
+	require.Zero(t, sendSome(address, other, beat, received))
 
 	callWithoutHello(t, address)
-	require.Zero(t, taken.Load())
+	require.Zero(t, received.Load())
 
-	arrives(t, address, options("a"), beat, taken)
+	requireArrival(t, address, options("a"), beat, received)
 	callWithoutHello(t, address)
 }
 
-// callWithoutHello makes a call that must fail; serve fails the test where its
-// message is delivered all the same.
+// callWithoutHello requires that a batch without a hello is rejected; serve fails the test if it
+// is delivered.
 func callWithoutHello(t *testing.T, address string) {
 	t.Helper()
 	c, err := rpc.Dial("tcp", address)
@@ -101,17 +103,18 @@
 	require.Error(t, c.Call("F.D", peers.Batch{Messages: []host.Message{beat}}, &peers.Ack{}))
 }
 
-func TestMessagesAreBounded(t *testing.T) {
+// TestOversizedMessagesAreRejected guards against a peer that exhausts memory with one message.
+func TestOversizedMessagesAreRejected(t *testing.T) {
 	small := options("b")
 	small.MaxMessage = 4 << 10
-	address, taken := serve(t, small)
+	address, received := serve(t, small)
 	huge := host.AdoptPermits{}
 	huge.Group.Zone = ident.Zone(make([]byte, 64<<10))
-	require.Zero(t, send(address, options("a"), huge, taken))
-	arrives(t, address, options("a"), beat, taken)
+	require.Zero(t, sendSome(address, options("a"), huge, received))
+	requireArrival(t, address, options("a"), beat, received)
 }
 
-// authority signs certificates for one test.
+// authority simulates a certificate authority.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -131,6 +134,7 @@
 	return authority{cert, key}
 }
 
+// config returns a configuration with a certificate of a that trusts those of trusted.
 func (a authority) config(t *testing.T, trusted authority) *tls.Config {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
@@ -148,21 +152,23 @@
 	}
 }
 
+// TestMutualTLS guards against hosts that connect without TLS or with a certificate of another
+// authority.
 func TestMutualTLS(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	server := options("b")
 	server.TLS = ours.config(t, ours)
-	address, taken := serve(t, server)
-	require.Zero(t, send(address, options("a"), beat, taken), "no TLS")
+	address, received := serve(t, server)
+	require.Zero(t, sendSome(address, options("a"), beat, received), "no TLS")
 	stranger := options("a")
 	stranger.TLS = theirs.config(t, ours)
-	require.Zero(t, send(address, stranger, beat, taken), "a certificate of another authority")
+	require.Zero(t, sendSome(address, stranger, beat, received), "a certificate of another authority")
 	good := options("a")
 	good.TLS = ours.config(t, ours)
-	arrives(t, address, good, beat, taken)
+	requireArrival(t, address, good, beat, received)
 }
 
-// Two neighbouring versions of a message: the newer has one field more.
+// Two adjacent versions of a message: the newer one has an additional field.
 type (
 	oldBeat struct{ Counter uint64 }
 	newBeat struct {
@@ -171,9 +177,9 @@
 	}
 )
 
-// TestNeighbouringVersionsUnderstandEachOther exchanges both ways a message
-// that one side knows with a field more.
-func TestNeighbouringVersionsUnderstandEachOther(t *testing.T) {
+// TestAdjacentVersionsAreCompatible guards against an encoding in which a field that only one side
+// has breaks decoding.
+func TestAdjacentVersionsAreCompatible(t *testing.T) {
 	var b bytes.Buffer
 	require.NoError(t, gob.NewEncoder(&b).Encode(newBeat{Counter: 7, Added: "x"}))
 	var old oldBeat
@@ -186,10 +192,9 @@
 	require.EqualValues(t, 8, fresh.Counter)
 }
 
-// TestSilentHostIsCalledAnew lets the first connection take messages and answer
-// none of them, as a host that lost its power without a word: the next message
-// must go over a new connection, long before all calls of the old one are used.
-func TestSilentHostIsCalledAnew(t *testing.T) {
+// TestUnresponsiveConnectionIsReplaced guards against messages sent on a connection whose calls
+// are not answered, as after a power loss of the host, until maxCalls of them are pending.
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	silent, stop := make(chan struct{}, 1), make(chan struct{})
@@ -220,7 +225,7 @@
 	select {
 	case <-arrived:
 	case <-time.After(30 * time.Second):
-		t.Fatal("the silent connection is still used")
+		t.Fatal("the unresponsive connection was not replaced")
 	}
 	require.EqualValues(t, 1, o.Counters.Failed.Load())
 }
--- a/peers/pool.go
+++ b/peers/pool.go
@@ -15,23 +15,22 @@
 )
 
 const (
-	// queueLen bounds the messages that wait for one host. Chosen, not measured.
+	// queueLen bounds the messages queued for one host.
 	queueLen = 4096
-	// maxBatch bounds the messages in one call. Chosen, not measured.
+	// maxBatch bounds the messages in one call.
 	maxBatch = 128
-	// maxCalls bounds the calls in progress to one host. Chosen, not measured.
+	// maxCalls bounds the calls in flight to one host.
 	maxCalls = 8
-	// redialPause follows a failed dial, and doubles with each one in a row up to
-	// maxRedialPause: a host that is overloaded must not be called all the more. Chosen,
-	// not measured.
-	redialPause    = 200 * time.Millisecond
-	maxRedialPause = 800 * time.Millisecond
-	// refusedPause follows a dial that was refused: no process listens yet, so that
-	// another dial costs it nothing, and it is likely starting. Chosen, not measured.
-	refusedPause = 100 * time.Millisecond
+	// minRedialDelay is the delay after a failed dial. It doubles with each further failure up
+	// to maxRedialDelay, so that redials do not add to the load of an overloaded host.
+	minRedialDelay = 200 * time.Millisecond
+	maxRedialDelay = 800 * time.Millisecond
+	// refusedRedialDelay is the delay after a refused dial. It is short, as no process listens
+	// that could be overloaded, and one is likely about to start.
+	refusedRedialDelay = 100 * time.Millisecond
 )
 
-// Pool sends messages to other hosts, one connection each.
+// Pool sends messages to other hosts over one connection each.
 type Pool struct {
 	options Options
 	mu      sync.Mutex
@@ -40,21 +39,21 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 	done    sync.WaitGroup
-	// handshakes are connections that are being opened.
+	// handshakes limits the connections that are being opened.
 	handshakes *gate.Gate
 }
 
-// NewPool returns a pool that knows no hosts yet.
+// NewPool returns a pool without addresses.
 func NewPool(o Options) *Pool {
 	registerOnce.Do(registerTypes)
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Pool{
 		options: o.withDefaults(), addrs: map[ident.Host]string{}, senders: map[ident.Host]*sender{},
-		ctx: ctx, cancel: cancel, handshakes: gate.New(handshakesAtOnce),
+		ctx: ctx, cancel: cancel, handshakes: gate.New(maxHandshakes),
 	}
 }
 
-// SetAddresses sets where hosts listen.
+// SetAddresses sets the addresses of the given hosts and leaves those of others.
 func (p *Pool) SetAddresses(hosts []config.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,14 +62,14 @@
 	}
 }
 
-// Send queues m for a host. It never blocks: a message to an unknown host or
-// beyond a full queue is dropped and counted.
+// Send queues m for a host. It never blocks: a message to a host without an address or with a
+// full queue is dropped and counted.
 func (p *Pool) Send(to ident.Host, m host.Message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s, ok := p.senders[to]
 	if !ok {
-		if p.addressOf(to) == "" || p.ctx.Err() != nil {
+		if p.addressLocked(to) == "" || p.ctx.Err() != nil {
 			p.options.Counters.Dropped.Add(1)
 			return
 		}
@@ -86,7 +85,7 @@
 	}
 }
 
-// Close ends all connections and waits for their senders.
+// Close closes all connections and waits for their goroutines.
 func (p *Pool) Close() {
 	p.cancel()
 	p.done.Wait()
@@ -95,12 +94,12 @@
 func (p *Pool) address(h ident.Host) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.addressOf(h)
+	return p.addressLocked(h)
 }
 
-// addressOf returns where h listens. In a seeded fleet a host's name is its
-// address. The caller holds mu.
-func (p *Pool) addressOf(h ident.Host) string {
+// addressLocked returns the address of h, or "" if it is not known. In a seeded fleet, a host's
+// id is its address. The caller holds mu.
+func (p *Pool) addressLocked(h ident.Host) string {
 	if a := p.addrs[h]; a != "" {
 		return a
 	}
--- a/peers/restart_test.go
+++ b/peers/restart_test.go
@@ -17,38 +17,37 @@
 	"github.com/yardhall/yardhall/peers"
 )
 
-// process is one start of a host at an address.
-type process struct {
+// hostProcess simulates one incarnation of host b.
+type hostProcess struct {
 	listener net.Listener
 	server   *peers.Server
-	taken    atomic.Int32
+	received atomic.Int32
 }
 
-func startProcess(t *testing.T, address string, boot uint64) *process {
+func startProcess(t *testing.T, address string, boot uint64) *hostProcess {
 	l, err := net.Listen("tcp", address)
 	require.NoError(t, err)
 	o := options("b")
 	o.Boot = boot
-	p := &process{listener: l}
-	p.server = peers.NewServer(o, func(ident.Host, host.Message) { p.taken.Add(1) })
+	p := &hostProcess{listener: l}
+	p.server = peers.NewServer(o, func(ident.Host, host.Message) { p.received.Add(1) })
 	go func() { _ = p.server.Serve(l) }()
 	t.Cleanup(p.end)
 	return p
 }
 
-func (p *process) end() {
+func (p *hostProcess) end() {
 	_ = p.listener.Close()
 	p.server.Close()
 }
 
-func (p *process) awaitsOne(t *testing.T) {
+func (p *hostProcess) awaitMessage(t *testing.T) {
 	t.Helper()
-	require.Eventually(t, func() bool { return p.taken.Load() > 0 }, 30*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return p.received.Load() > 0 }, 30*time.Second, time.Millisecond)
 }
 
-// TestFirstMessageToARestartedHostArrives ends a host's process and starts the next
-// one: the first message after that must not be lost on the old connection, as what it
-// holds may be taken to be under way for long.
+// TestFirstMessageToARestartedHostArrives guards against a message that is lost on the connection
+// to the previous process of a host: the core may assume for long that it is still on its way.
 func TestFirstMessageToARestartedHostArrives(t *testing.T) {
 	first := startProcess(t, "127.0.0.1:0", 1)
 	address := first.listener.Addr().String()
@@ -56,18 +55,18 @@
 	defer p.Close()
 	p.SetAddresses([]config.Host{{ID: "b", Address: address}})
 	p.Send("b", beat)
-	first.awaitsOne(t)
+	first.awaitMessage(t)
 	first.end()
 	second := startProcess(t, address, 2)
-	// The end of the old connection needs a moment to arrive.
+	// Allow the sender to notice that the old connection was closed.
 	time.Sleep(200 * time.Millisecond)
 	p.Send("b", beat)
-	second.awaitsOne(t)
+	second.awaitMessage(t)
 }
 
-// TestConnectionToAnEarlierStartIsLeft leaves the old connection open, as a host does
-// that loses its power, and has the next start of the host call.
-func TestConnectionToAnEarlierStartIsLeft(t *testing.T) {
+// TestConnectionToEarlierIncarnationIsReplaced guards against messages on a connection that was
+// not closed, as after a power loss, although the host's next incarnation has connected.
+func TestConnectionToEarlierIncarnationIsReplaced(t *testing.T) {
 	first := startProcess(t, "127.0.0.1:0", 1)
 	address := first.listener.Addr().String()
 	o := options("a")
@@ -76,7 +75,7 @@
 	defer p.Close()
 	p.SetAddresses([]config.Host{{ID: "b", Address: address}})
 	p.Send("b", beat)
-	first.awaitsOne(t)
+	first.awaitMessage(t)
 	require.NoError(t, first.listener.Close())
 	second := startProcess(t, address, 2)
 
@@ -86,14 +85,13 @@
 	defer func() { _ = conn.Close() }()
 	require.NoError(t, conn.Call("F.Hello", peers.Hello{From: "b", Fleet: o.Fleet, Key: o.Key, Boot: 2}, &peers.Ack{}))
 	p.Send("b", beat)
-	second.awaitsOne(t)
-	require.EqualValues(t, 1, first.taken.Load())
+	second.awaitMessage(t)
+	require.EqualValues(t, 1, first.received.Load())
 }
 
-// TestClockSetBackKeepsItsConnection restarts a host whose clock was set back, so that
-// its process seems to have started before the one that has called: the connection to it
-// is kept, not opened anew for each message.
-func TestClockSetBackKeepsItsConnection(t *testing.T) {
+// TestClockSetBackKeepsConnection guards against a new connection for each message to a host whose
+// clock was set back, so that its incarnation seems older than the one that connected before.
+func TestClockSetBackKeepsConnection(t *testing.T) {
 	o := options("a")
 	o.PeerBoots = &peers.BootTracker{}
 	own, _ := serve(t, o)
@@ -108,7 +106,7 @@
 	p.SetAddresses([]config.Host{{ID: "b", Address: second.listener.Addr().String()}})
 	for n := int32(1); n <= 5; n++ {
 		p.Send("b", beat)
-		require.Eventually(t, func() bool { return second.taken.Load() >= n }, 30*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return second.received.Load() >= n }, 30*time.Second, time.Millisecond)
 	}
 	require.EqualValues(t, 1, o.Counters.Dialed.Load())
 }
--- a/peers/sender.go
+++ b/peers/sender.go
@@ -17,110 +17,114 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// sender is the connection to one host.
+// sender owns the connection to one host. Other goroutines than that of run only use its queue.
 type sender struct {
 	pool   *Pool
 	to     ident.Host
 	queue  chan host.Message
 	client *rpc.Client
 	conn   *countedConn
-	// boot is the start of the process at the other end; 0 where it did not say.
-	boot  uint64
-	addr  string
-	calls chan *rpc.Call
-	open  int
-	// pause is the wait after the next failed dial.
-	pause time.Duration
-	// asked is when the oldest open call was made, or the last one answered.
-	asked time.Time
+	// boot is the incarnation of the process at the other end; 0 if unknown.
+	boot          uint64
+	addr          string
+	calls         chan *rpc.Call
+	callsInFlight int
+	// redialDelay is the delay after the last failed dial; 0 after a successful one.
+	redialDelay time.Duration
+	// lastProgress is when the oldest call in flight was made or the last one returned,
+	// whichever is later.
+	lastProgress time.Time
 }
 
 func (s *sender) run() {
 	defer s.pool.done.Done()
-	defer s.hangUp()
+	defer s.disconnect()
 	s.calls = make(chan *rpc.Call, maxCalls)
 	for {
 		select {
 		case <-s.pool.ctx.Done():
 			return
 		case call := <-s.calls:
-			s.callDone(call)
+			s.handleReply(call)
 		case m := <-s.queue:
-			s.deliver(m)
+			s.sendBatch(m)
 		}
 	}
 }
 
-// deliver sends m together with what else waits.
-func (s *sender) deliver(m host.Message) {
+// sendBatch sends m and other queued messages in one call. It connects first if necessary and
+// blocks while maxCalls are in flight. Messages that cannot be sent are dropped and counted.
+func (s *sender) sendBatch(m host.Message) {
 	batch := Batch{Messages: []host.Message{m}}
 	for len(batch.Messages) < maxBatch && len(s.queue) > 0 {
 		batch.Messages = append(batch.Messages, <-s.queue)
 	}
-	s.leaveSilent()
+	s.closeIfSilent()
 	if err := s.connect(); err != nil {
 		s.pool.options.Counters.Failed.Add(1)
 		s.pool.options.Counters.Dropped.Add(int64(len(batch.Messages)))
-		s.drop(s.pauseAfter(err))
+		s.discardQueue(s.nextRedialDelay(err))
 		return
 	}
-	if s.open == maxCalls && !s.await() {
+	if s.callsInFlight == maxCalls && !s.awaitCall() {
 		s.pool.options.Counters.Dropped.Add(int64(len(batch.Messages)))
-		s.hangUp()
+		s.disconnect()
 		return
 	}
-	if s.open == 0 {
-		s.asked = time.Now()
+	if s.callsInFlight == 0 {
+		s.lastProgress = time.Now()
 	}
-	s.open++
+	s.callsInFlight++
 	s.pool.options.Counters.Sent.Add(int64(len(batch.Messages)))
 	s.client.Go(serviceName+".D", batch, &Ack{}, s.calls)
 }
 
-// leaveSilent hangs up on a host that has left calls unanswered: it may be gone
-// without a word, and back without knowing this connection.
-func (s *sender) leaveSilent() {
+// closeIfSilent closes the connection if calls have been unanswered for answerTimeout. The host
+// may have lost power and restarted, in which case it does not know this connection.
+func (s *sender) closeIfSilent() {
 	for len(s.calls) > 0 {
-		s.callDone(<-s.calls)
+		s.handleReply(<-s.calls)
 	}
-	if s.client != nil && s.open > 0 && time.Since(s.asked) > answerTimeout {
+	if s.client != nil && s.callsInFlight > 0 && time.Since(s.lastProgress) > answerTimeout {
 		s.pool.options.Counters.Failed.Add(1)
-		s.hangUp()
+		s.disconnect()
 	}
 }
 
-// pauseAfter is the time until the next dial after one that failed.
-func (s *sender) pauseAfter(err error) time.Duration {
+// nextRedialDelay returns the delay after a dial that failed with err and advances the backoff.
+func (s *sender) nextRedialDelay(err error) time.Duration {
 	if errors.Is(err, unix.ECONNREFUSED) {
-		return refusedPause
+		return refusedRedialDelay
 	}
-	s.pause = min(max(redialPause, 2*s.pause), maxRedialPause)
-	return s.pause
+	s.redialDelay = min(max(minRedialDelay, 2*s.redialDelay), maxRedialDelay)
+	return s.redialDelay
 }
 
-// drop empties the queue after a failed dial and pauses: what waited is stale.
-func (s *sender) drop(d time.Duration) {
-	pause := time.NewTimer(d)
-	defer pause.Stop()
+// discardQueue drops messages for d after a failed dial, as they would be stale once the host is
+// reachable.
+func (s *sender) discardQueue(d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	for {
 		select {
 		case <-s.pool.ctx.Done():
 			return
 		case <-s.queue:
 			s.pool.options.Counters.Dropped.Add(1)
-		case <-pause.C:
+		case <-timer.C:
 			return
 		}
 	}
 }
 
-// await waits for one call to end, at most its deadline.
-func (s *sender) await() bool {
+// awaitCall waits for one call to return, at most callTimeout. It reports whether the connection
+// is still usable.
+func (s *sender) awaitCall() bool {
 	timer := time.NewTimer(callTimeout)
 	defer timer.Stop()
 	select {
 	case call := <-s.calls:
-		s.callDone(call)
+		s.handleReply(call)
 		return s.client != nil
 	case <-timer.C:
 		return false
@@ -129,31 +133,33 @@
 	}
 }
 
-func (s *sender) callDone(call *rpc.Call) {
-	s.open = max(0, s.open-1)
-	s.asked = time.Now()
+func (s *sender) handleReply(call *rpc.Call) {
+	s.callsInFlight = max(0, s.callsInFlight-1)
+	s.lastProgress = time.Now()
 	if call.Error != nil && s.client != nil {
 		s.pool.options.Counters.Failed.Add(1)
-		s.hangUp()
+		s.disconnect()
 	}
 }
 
+// connect opens a connection and sends the hello, unless there is a usable connection to the
+// host's current address.
 func (s *sender) connect() error {
 	addr := s.pool.address(s.to)
 	if blocked := s.pool.options.Blocked; blocked != nil && blocked(s.to) {
-		s.hangUp()
+		s.disconnect()
 		return errors.New("unreachable")
 	}
-	if s.client != nil && s.addr == addr && !s.isOver() {
+	if s.client != nil && s.addr == addr && !s.isDead() {
 		return nil
 	}
-	s.hangUp()
+	s.disconnect()
 	o := s.pool.options
-	pass, ok := o.enter(s.pool.handshakes, ipOf(addr), s.pool.ctx.Done())
+	slot, ok := o.acquireHandshakeSlot(s.pool.handshakes, parseIP(addr), s.pool.ctx.Done())
 	if !ok {
-		return errors.New("the pool is closed")
+		return errors.New("pool closed")
 	}
-	defer pass.Leave()
+	defer slot.Leave()
 	conn, err := s.dial(addr)
 	if err != nil {
 		return err
@@ -172,18 +178,18 @@
 		_ = client.Close()
 		return errors.Wrap(err, "hello")
 	}
-	s.client, s.conn, s.boot, s.addr, s.open, s.pause = client, counted, ack.Boot, addr, 0, 0
+	s.client, s.conn, s.boot, s.addr, s.callsInFlight, s.redialDelay = client, counted, ack.Boot, addr, 0, 0
 	s.calls = make(chan *rpc.Call, maxCalls)
 	o.Counters.Connected.Add(1)
 	o.Counters.Dialed.Add(1)
-	o.PeerBoots.answered(s.to, ack.Boot)
+	o.PeerBoots.set(s.to, ack.Boot)
 	return nil
 }
 
-// isOver tells whether the other end of the connection has closed it or belongs to a
-// process that is gone: what is sent there would be lost.
-func (s *sender) isOver() bool {
-	return s.conn.ended.Load() || s.pool.options.PeerBoots.isOver(s.to, s.boot)
+// isDead reports whether messages on the connection would be lost, because the other end has
+// closed it or belongs to an earlier incarnation of the host.
+func (s *sender) isDead() bool {
+	return s.conn.readFailed.Load() || s.pool.options.PeerBoots.isSuperseded(s.to, s.boot)
 }
 
 func (s *sender) dial(addr string) (net.Conn, error) {
@@ -199,8 +205,8 @@
 	return conn, errors.Wrap(err, "dial")
 }
 
-// ipOf is the address part of an ip:port; the zero address where there is none.
-func ipOf(addr string) netip.Addr {
+// parseIP returns the address of an ip:port, or the zero address if addr is not one.
+func parseIP(addr string) netip.Addr {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return netip.Addr{}
@@ -208,7 +214,7 @@
 	return a.Addr().Unmap()
 }
 
-func (s *sender) hangUp() {
+func (s *sender) disconnect() {
 	if s.client == nil {
 		return
 	}
--- a/peers/server.go
+++ b/peers/server.go
@@ -1,8 +1,7 @@
 // Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
 
-// Package peers carries messages between the hosts of a fleet over net/rpc.
-// It promises nothing: messages may be lost, doubled or reordered; the core
-// allows for that.
+// Package peers transports messages between the hosts of a fleet over net/rpc. Messages may be
+// lost, duplicated or reordered; the core tolerates that.
 //
 // # Usage
 //
@@ -12,8 +11,8 @@
 //	pool.SetAddresses(hosts)
 //	pool.Send("entry-2", message)
 //
-// Each connection opens with a Hello that must name the fleet and its key;
-// with TLS, certificates are checked both ways as well.
+// Each connection starts with a Hello that authenticates the caller by the fleet's name and key.
+// With TLS, both ends also verify certificates.
 package peers
 
 import (
@@ -35,31 +34,33 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// Options are what both sides of the transport need.
+// Options configure a Server and a Pool.
 type Options struct {
 	Self  ident.Host
 	Fleet string
-	Key   string
-	// MaxMessage bounds the bytes of one call or answer.
+	// Key is the shared secret of the fleet.
+	Key string
+	// MaxMessage bounds one received call or reply, in bytes.
 	MaxMessage int64
-	// From is the local address to dial from; nil leaves it to the system.
+	// From is the local address to dial from; nil lets the system choose.
 	From *net.TCPAddr
-	// TLS is set where connections are encrypted.
+	// TLS encrypts connections; nil means no encryption.
 	TLS *tls.Config
-	// Counters count the traffic; a nil one is replaced.
+	// Counters count the traffic; nil is replaced by new ones.
 	Counters *Counters
-	// Boot is the start of this process; it grows from one to the next. Boots are
-	// those of other hosts, which a server hears and a pool uses.
-	Boot      uint64
+	// Boot is the incarnation of this process, which increases with each start.
+	Boot uint64
+	// PeerBoots holds the incarnations of other hosts. A Server updates it and a Pool
+	// uses it, so both need the same one; nil is replaced by a new one.
 	PeerBoots *BootTracker
-	// SkipHandshakeLimit, where set, tells which addresses need not wait for others when they open
-	// connections: on a replica, those of other replicas.
+	// SkipHandshakeLimit, if not nil, reports whether connections with an address are exempt
+	// from the limit of concurrent handshakes, such as those between replicas. Nil exempts all.
 	SkipHandshakeLimit func(netip.Addr) bool
-	// HandshakeSlotTimeout is how long a connection that is being opened may keep others
-	// waiting; 0 is the default.
+	// HandshakeSlotTimeout is how long a handshake counts towards the limit; 0 means
+	// defaultHandshakeSlotTimeout.
 	HandshakeSlotTimeout time.Duration
-	// Blocked, where set, tells which hosts must not be reached; tests cut
-	// zones off with it.
+	// Blocked, if not nil, reports whether messages from and to a host must fail. Tests
+	// simulate network partitions with it.
 	Blocked func(ident.Host) bool
 }
 
@@ -73,53 +74,50 @@
 	Failed    atomic.Int64
 	Refused   atomic.Int64
 	Connected atomic.Int64
-	// Dialed counts the connections that were opened to other hosts.
+	// Dialed counts the connections opened to other hosts; Connected is the number of those
+	// that are open.
 	Dialed atomic.Int64
 }
 
 const (
-	// callTimeout bounds a write to a connection, dialTimeout the opening of one. Chosen,
-	// not measured.
+	// callTimeout bounds a write, the reply to a Hello and the wait for a call in flight.
 	callTimeout = 2 * time.Second
 	dialTimeout = 600 * time.Millisecond
-	// answerTimeout is how long a host may leave calls unanswered. Chosen, not measured.
+	// answerTimeout is how long calls may be unanswered before the connection is replaced.
 	answerTimeout = 1200 * time.Millisecond
-	// idleTimeout is how long a connection may rest, helloTimeout how long it may take to
-	// open with a Hello. Chosen, not measured.
+	// idleTimeout closes a connection without messages, helloTimeout one without a Hello.
 	idleTimeout  = time.Minute
 	helloTimeout = 5 * time.Second
-	// handshakesAtOnce bounds the connections that are being opened with hosts that do
-	// not go first, each way. One costs both ends 0.35 ms of processor
-	// (BenchmarkConnect), and on a tenth of a core three hundred at once leave nothing to
-	// the replicated log for seconds.
-	handshakesAtOnce = 4
-	// handshakeTime is how long one may count as that: some lead nowhere. Chosen, not
-	// measured.
-	handshakeTime = 100 * time.Millisecond
+	// maxHandshakes bounds the concurrent handshakes in each direction. Hundreds of them at
+	// once would starve the replicated log of processor time.
+	maxHandshakes = 4
+	// defaultHandshakeSlotTimeout frees the slots of handshakes that hang.
+	defaultHandshakeSlotTimeout = 100 * time.Millisecond
 )
 
 func (o Options) withDefaults() Options {
 	if o.Counters == nil {
 		o.Counters = &Counters{}
 	}
-	o.HandshakeSlotTimeout = cmp.Or(o.HandshakeSlotTimeout, handshakeTime)
+	o.HandshakeSlotTimeout = cmp.Or(o.HandshakeSlotTimeout, defaultHandshakeSlotTimeout)
 	if o.PeerBoots == nil {
 		o.PeerBoots = &BootTracker{}
 	}
 	return o
 }
 
-// enter waits for a pass to open a connection with a host, unless that goes first.
-func (o Options) enter(g *gate.Gate, ip netip.Addr, done <-chan struct{}) (pass *gate.Pass, ok bool) {
+// acquireHandshakeSlot waits for a handshake slot until done is closed; ok is false if it was. For
+// exempt addresses it returns a nil slot at once.
+func (o Options) acquireHandshakeSlot(g *gate.Gate, ip netip.Addr, done <-chan struct{}) (slot *gate.Pass, ok bool) {
 	if o.SkipHandshakeLimit == nil || o.SkipHandshakeLimit(ip) {
 		return nil, true
 	}
-	pass, ok = g.Enter(done)
-	pass.EndAfter(o.HandshakeSlotTimeout)
-	return pass, ok
+	slot, ok = g.Enter(done)
+	slot.EndAfter(o.HandshakeSlotTimeout)
+	return slot, ok
 }
 
-// remoteIP is the address at the other end; the zero address where it has none.
+// remoteIP returns the address of the other end, or the zero address if it has none.
 func remoteIP(conn net.Conn) netip.Addr {
 	a, ok := conn.RemoteAddr().(*net.TCPAddr)
 	if !ok {
@@ -130,24 +128,24 @@
 
 var registerOnce sync.Once
 
-// Server takes messages from other hosts.
+// Server receives messages from other hosts.
 type Server struct {
 	options Options
 	deliver func(ident.Host, host.Message)
 	mu      sync.Mutex
 	conns   map[net.Conn]bool
 	closed  bool
-	// handshakes are connections whose first messages have not come yet.
+	// handshakes limits the connections that have not delivered a batch yet.
 	handshakes *gate.Gate
 	done       chan struct{}
 }
 
-// NewServer returns a server that hands every message to deliver.
+// NewServer returns a server that calls deliver for each message, from several goroutines.
 func NewServer(o Options, deliver func(ident.Host, host.Message)) *Server {
 	registerOnce.Do(registerTypes)
 	return &Server{
 		options: o.withDefaults(), deliver: deliver, conns: map[net.Conn]bool{},
-		handshakes: gate.New(handshakesAtOnce), done: make(chan struct{}),
+		handshakes: gate.New(maxHandshakes), done: make(chan struct{}),
 	}
 }
 
@@ -168,6 +166,8 @@
 	}
 }
 
+// track registers a connection to be closed by Close. If the server is closed already, it closes
+// the connection and returns false.
 func (s *Server) track(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,7 +179,7 @@
 	return true
 }
 
-// Close ends all connections.
+// Close closes all connections. The listener is closed by its owner.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,17 +200,17 @@
 		_ = conn.Close()
 	}()
 	r := rpc.NewServer()
-	pass, ok := s.options.enter(s.handshakes, remoteIP(conn), s.done)
+	slot, ok := s.options.acquireHandshakeSlot(s.handshakes, remoteIP(conn), s.done)
 	if !ok {
 		return
 	}
-	defer pass.Leave()
-	f := &Service{server: s, conn: conn, pass: pass}
-	if err := r.RegisterName(serviceName, f); err != nil {
+	defer slot.Leave()
+	service := &Service{server: s, conn: conn, slot: slot}
+	if err := r.RegisterName(serviceName, service); err != nil {
 		panic(err)
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(helloTimeout))
-	counted := &countedConn{Conn: conn, counters: s.options.Counters, idle: &f.known}
+	counted := &countedConn{Conn: conn, counters: s.options.Counters, renewIdle: &service.authenticated}
 	r.ServeCodec(newGobCodec(counted, s.options.MaxMessage))
 }
 
@@ -220,70 +220,70 @@
 type Service struct {
 	server *Server
 	conn   net.Conn
-	known  atomic.Bool
-	from   ident.Host
-	pass   *gate.Pass
+	// authenticated is set by a successful Hello, after from.
+	authenticated atomic.Bool
+	from          ident.Host
+	slot          *gate.Pass
 }
 
-// Hello checks who calls. Nothing else is answered before.
-func (f *Service) Hello(h Hello, a *Ack) error {
-	o := f.server.options
+// Hello authenticates the caller. It must be the first call of a connection, and the only Hello.
+func (s *Service) Hello(h Hello, a *Ack) error {
+	o := s.server.options
 	sameKey := subtle.ConstantTimeCompare([]byte(h.Key), []byte(o.Key)) == 1
-	if h.Fleet != o.Fleet || !sameKey || f.known.Load() {
+	if h.Fleet != o.Fleet || !sameKey || s.authenticated.Load() {
 		o.Counters.Refused.Add(1)
-		_ = f.conn.Close()
+		_ = s.conn.Close()
 		return errors.New("refused")
 	}
-	f.from = h.From
-	f.known.Store(true)
-	o.PeerBoots.heard(h.From, h.Boot)
+	s.from = h.From
+	s.authenticated.Store(true)
+	o.PeerBoots.advance(h.From, h.Boot)
 	a.Taken, a.Boot = 1, o.Boot
 	return nil
 }
 
-// D delivers a batch of messages; the name stands in each call, so it is
-// short.
-func (f *Service) D(b Batch, a *Ack) error {
-	if !f.known.Load() {
-		f.server.options.Counters.Refused.Add(1)
-		_ = f.conn.Close()
+// D delivers a batch of messages. Its name is short because it is sent with each call.
+func (s *Service) D(b Batch, a *Ack) error {
+	if !s.authenticated.Load() {
+		s.server.options.Counters.Refused.Add(1)
+		_ = s.conn.Close()
 		return errors.New("hello is missing")
 	}
-	if blocked := f.server.options.Blocked; blocked != nil && blocked(f.from) {
-		_ = f.conn.Close()
+	if blocked := s.server.options.Blocked; blocked != nil && blocked(s.from) {
+		_ = s.conn.Close()
 		return errors.New("unreachable")
 	}
 	for _, m := range b.Messages {
 		if m == nil {
 			continue
 		}
-		f.server.options.Counters.Received.Add(1)
-		f.server.deliver(f.from, m)
+		s.server.options.Counters.Received.Add(1)
+		s.server.deliver(s.from, m)
 	}
 	a.Taken = len(b.Messages)
-	f.pass.Leave()
+	s.slot.Leave()
 	return nil
 }
 
-// countedConn counts bytes and, once the peer is known, renews the idle
-// deadline at each read.
+// countedConn counts bytes, bounds each write by callTimeout and, while renewIdle is set, each
+// read by idleTimeout.
 type countedConn struct {
 	net.Conn
-	counters *Counters
-	idle     *atomic.Bool
-	// ended is set once the other side has closed it.
-	ended atomic.Bool
+	counters  *Counters
+	renewIdle *atomic.Bool
+	// readFailed is set once a read failed, usually because the other end closed the connection.
+	readFailed atomic.Bool
 }
 
 // Read implements io.Reader.
 func (c *countedConn) Read(p []byte) (int, error) {
-	if c.idle != nil && c.idle.Load() {
+	if c.renewIdle != nil && c.renewIdle.Load() {
 		_ = c.SetReadDeadline(time.Now().Add(idleTimeout))
 	}
 	n, err := c.Conn.Read(p)
 	c.counters.BytesIn.Add(int64(n))
 	if err != nil {
-		c.ended.Store(true)
+		c.readFailed.Store(true)
 	}
 	return n, err // io.Reader must return io.EOF itself.
 }
--- a/peers/wire.go
+++ b/peers/wire.go
@@ -9,28 +9,28 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// Hello opens a connection: who calls, of which fleet, with which key.
+// Hello is the first call of a connection. It identifies and authenticates the caller.
 type Hello struct {
 	From  ident.Host
 	Fleet string
 	Key   string
-	// Boot is the start of the caller's process; 0 where it does not say.
+	// Boot is the incarnation of the caller's process; 0 if it is not sent.
 	Boot uint64
 }
 
-// Batch carries messages from one host to another. Their order means nothing.
+// Batch carries messages from one host to another, in no particular order.
 type Batch struct{ Messages []host.Message }
 
-// Ack is the answer to a call. Boot answers a Hello with the start of the process
-// that was called.
+// Ack is the reply to a call.
 type Ack struct {
+	// Taken is the number of messages delivered; 1 in the reply to a Hello.
 	Taken int
-	Boot  uint64
+	// Boot is the incarnation of the called process, in the reply to a Hello.
+	Boot uint64
 }
 
-// registerTypes names the closed sets of messages for gob, which adds and
-// skips unknown fields, so that hosts of neighbouring versions understand each
-// other.
+// registerTypes registers the message types with gob under names that do not depend on Go
+// identifiers. Gob skips unknown fields, so that hosts of adjacent versions are compatible.
 func registerTypes() {
 	for _, t := range host.WireTypes() {
 		gob.RegisterName(t.Name, t.Value)
