--- a/core/host/admit.go
+++ b/core/host/admit.go
@@ -13,29 +13,30 @@
 	"github.com/yardhall/yardhall/core/outcome"
 )
 
-// accountUse is what an account uses on this host.
-type accountUse struct {
+// accountUsage is an account's use of its limits on this host.
+type accountUsage struct {
 	inFlight int
-	// tokens is the rate limit's bucket, filled at filled.
+	// tokens is the level of the rate limiter's token bucket at filled.
 	tokens float64
 	filled time.Time
 }
 
-func refusal(code Code, reason string) Verdict {
+func notRunVerdict(code Code, reason string) Verdict {
 	return Verdict{Outcome: outcome.NotRun, Code: code, Reason: reason}
 }
 
-// admit resolves account, service, class and limits.
+// admit resolves the account, service and class of a call and checks the account's limits. If the
+// call is rejected, it returns the verdict and false.
 func (t *transition) admit(c *call) (Verdict, bool) {
 	if !t.ready {
 		return Verdict{
-			Outcome: outcome.NotRun, Code: CodeNotReady, RetryAfter: retryAfter,
+			Outcome: outcome.NotRun, Code: CodeNotReady, RetryAfter: defaultRetryAfter,
 			Reason: "this host has no configuration yet",
 		}, false
 	}
-	account, ok := t.config.AccountByKey(c.req.KeyHash)
+	account, ok := t.config.AccountByKey(c.request.KeyHash)
 	if !ok {
-		return refusal(CodeInvalidAPIKey, "the API key is not known"), false
+		return notRunVerdict(CodeInvalidAPIKey, "the API key is not known"), false
 	}
 	c.account = account
 	if v, ok := t.admitService(c); !ok {
@@ -48,33 +49,33 @@
 }
 
 func (t *transition) admitService(c *call) (Verdict, bool) {
-	if c.req.Model != "" {
-		m, ok := t.config.Models.Get(c.req.Model)
+	if c.request.Model != "" {
+		m, ok := t.config.Models.Get(c.request.Model)
 		if !ok {
-			return refusal(CodeModelNotFound, "the model "+string(c.req.Model)+" does not exist"), false
+			return notRunVerdict(CodeModelNotFound, "the model "+string(c.request.Model)+" does not exist"), false
 		}
-		c.req.Service = m.Service
+		c.request.Service = m.Service
 	}
-	s, ok := t.config.Services.Get(c.req.Service)
-	if !ok || (c.req.Model == "" && s.Kind != config.KindPlain) {
-		return refusal(CodeServiceNotFound, "the service "+string(c.req.Service)+" does not exist"), false
+	s, ok := t.config.Services.Get(c.request.Service)
+	if !ok || (c.request.Model == "" && s.Kind != config.KindPlain) {
+		return notRunVerdict(CodeServiceNotFound, "the service "+string(c.request.Service)+" does not exist"), false
 	}
 	c.service = s
 	if s.Timeout > 0 {
-		c.req.Deadline = earlier(c.req.Deadline, t.now.Add(time.Duration(s.Timeout)))
+		c.request.Deadline = earlierTime(c.request.Deadline, t.now.Add(time.Duration(s.Timeout)))
 	}
-	c.req.AtMostOnce = c.req.AtMostOnce || s.NotRepeatable || slices.ContainsFunc(s.OnceRoutes, func(prefix string) bool {
-		return strings.HasPrefix(c.req.Path, prefix)
+	c.request.AtMostOnce = c.request.AtMostOnce || s.NotRepeatable || slices.ContainsFunc(s.OnceRoutes, func(prefix string) bool {
+		return strings.HasPrefix(c.request.Path, prefix)
 	})
 	if share := t.config.Share(s.ID, t.settings.Zone); share < percent {
 		if int(uint64(hash.Of(string(c.account.ID), string(s.ID)))%percent) >= share {
-			return refusal(CodeNotHandedOver, "this service is not handed over in this zone"), false
+			return notRunVerdict(CodeNotHandedOver, "this service is not handed over in this zone"), false
 		}
 	}
 	return Verdict{}, true
 }
 
-func earlier(a, b time.Time) time.Time {
+func earlierTime(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
@@ -83,7 +84,7 @@
 
 func (t *transition) admitClass(c *call) (Verdict, bool) {
 	allowed := c.account.Classes
-	id := c.req.Class
+	id := c.request.Class
 	if id == "" && len(allowed) > 0 {
 		id = allowed[0]
 	}
@@ -93,22 +94,22 @@
 	}
 	class, ok := t.config.Classes.Get(id)
 	if !ok || !slices.Contains(allowed, id) {
-		return refusal(CodeClassNotAllowed, "the account may not use class "+string(id)), false
+		return notRunVerdict(CodeClassNotAllowed, "the account may not use class "+string(id)), false
 	}
 	c.class = class
 	return Verdict{}, true
 }
 
-// defaultRank is that of requests without a class.
+// defaultRank is the rank of requests without a class.
 const defaultRank = 1
 
-// admitLimits holds the account to its limits: requests in flight on this
-// host, and this host's part of its fleet-wide rate.
+// admitLimits checks the account's limits: requests in flight on this host, and this host's share
+// of its fleet-wide request rate.
 func (t *transition) admitLimits(a config.Account) (Verdict, bool) {
 	use, _ := t.accounts.Get(a.ID)
 	if a.MaxInFlight > 0 && use.inFlight >= a.MaxInFlight {
 		return Verdict{
-			Outcome: outcome.NotRun, Code: CodeLimitExceeded, RetryAfter: retryAfter,
+			Outcome: outcome.NotRun, Code: CodeLimitExceeded, RetryAfter: defaultRetryAfter,
 			Reason: "the account has too many requests in flight",
 		}, false
 	}
@@ -121,7 +122,7 @@
 		wait := time.Duration((1 - use.tokens) / rate * float64(time.Second))
 		return Verdict{
 			Outcome: outcome.NotRun, Code: CodeLimitExceeded, RetryAfter: wait,
-			Reason: "the account sends faster than its limit",
+			Reason: "the account exceeds its limit of requests per second",
 		}, false
 	}
 	use.tokens--
@@ -129,8 +130,9 @@
 	return Verdict{}, true
 }
 
-// refilled fills the bucket, which holds one second's worth.
-func (u accountUse) refilled(rate float64, now time.Time) accountUse {
+// refilled returns the usage with the token bucket refilled; its capacity is one second of the
+// rate, at least one token.
+func (u accountUsage) refilled(rate float64, now time.Time) accountUsage {
 	burst := max(1, rate)
 	if u.filled.IsZero() {
 		u.tokens = burst
--- a/core/host/backoff.go
+++ b/core/host/backoff.go
@@ -11,24 +11,22 @@
 	"github.com/yardhall/yardhall/core/routing"
 )
 
-// In listed fleets too, a target that declines may request a backoff: no requests from this host for
-// a time. Workers of plain services, and engines that this host picks by its own view, are passed
-// over. Owners of engine groups do not know of it, as it is this host's: they get requests for another
-// engine, and a permit that comes for this one is given back.
-//
-// Inputs: what targets say as they decline.
+// In listed fleets, a target that declines a request may ask this host to send no requests for a
+// time. Workers of plain services, and engines picked without a permit, are skipped during that
+// time. Owners of engine groups do not know the backoff, as it applies to this host only: permit
+// requests exclude the engine, and a permit granted for it anyway is released.
 
-// canUse tells whether this host may send new work to a target.
-func (t *transition) canUse(id ident.Target) bool {
+// canSendTo reports whether this host may send new requests to a target.
+func (t *transition) canSendTo(id ident.Target) bool {
 	h, _ := t.health.Get(id)
 	return h.Usable(t.now) && h.BackoffLeft(t.now) == 0
 }
 
-// excluded are the targets that the call's permit must not be for: those that it has tried, and
-// those of the group that back off.
-func (t *transition) excluded(c call) []ident.Target {
-	out := slices.Clone(c.tried)
-	for _, target := range t.targetsOf(c) {
+// excludedTargets returns the targets for which the call must not get a permit: those already
+// tried, and those in backoff.
+func (t *transition) excludedTargets(c call) []ident.Target {
+	out := slices.Clone(c.triedTargets)
+	for _, target := range t.callTargets(c) {
 		if h, _ := t.health.Get(target.ID); h.BackoffLeft(t.now) > 0 {
 			out = append(out, target.ID)
 		}
@@ -36,8 +34,8 @@
 	return out
 }
 
-// targetsOf are the targets of the call's group, or of its service where it has none.
-func (t *transition) targetsOf(c call) []config.Target {
+// callTargets returns the targets of the call's group, or of its service if it has no group yet.
+func (t *transition) callTargets(c call) []config.Target {
 	var out []config.Target
 	for _, p := range t.layout.services[c.service.ID] {
 		if c.group == (routing.GroupID{}) || p.id == c.group {
@@ -47,11 +45,11 @@
 	return out
 }
 
-// leastBackoff is the time until the first of the usable targets of a call is available; 0 where
-// one does not back off, or there is none.
-func (t *transition) leastBackoff(c call) time.Duration {
-	least := time.Duration(0)
-	for _, target := range t.targetsOf(c) {
+// shortestBackoff returns the time until the first of the call's usable targets ends its backoff.
+// It is 0 if one is not in backoff, or if no target is usable.
+func (t *transition) shortestBackoff(c call) time.Duration {
+	shortest := time.Duration(0)
+	for _, target := range t.callTargets(c) {
 		h, _ := t.health.Get(target.ID)
 		if !h.Usable(t.now) {
 			continue
@@ -60,9 +58,9 @@
 		if left == 0 {
 			return 0
 		}
-		if least == 0 || left < least {
-			least = left
+		if shortest == 0 || left < shortest {
+			shortest = left
 		}
 	}
-	return least
+	return shortest
 }
--- a/core/host/call.go
+++ b/core/host/call.go
@@ -12,113 +12,110 @@
 	"github.com/yardhall/yardhall/core/routing"
 )
 
-// A request to a listed fleet's services goes: admitted (admit.go), claimed where it must not
-// run twice (claim.go), given a place (place.go), run, and perhaps tried again (retry.go).
+// In listed fleets a request is admitted (admit.go), claimed if it must run at most once
+// (claim.go), granted a permit for a target (place.go), sent, and possibly retried (retry.go).
 const (
-	// permitTimeout is how long an owner may take to answer before the router picks by
-	// its own view. Chosen, not measured.
+	// permitTimeout is how long an owner may take to answer a permit request. After that this host
+	// picks a target without a permit.
 	permitTimeout = 250 * time.Millisecond
-	// queuedPoll is the time between two requests for a permit that waits in a queue, as
-	// the reply may have been lost. Chosen, not measured.
-	queuedPoll = 2 * time.Second
-	// claimTimeout bounds the wait for the right to run: an election and a write.
+	// queuedPollInterval is the time between permit requests for a queued request, in case the
+	// owner's grant was lost.
+	queuedPollInterval = 2 * time.Second
+	// claimTimeout bounds the wait for a claim: a leader election and a write.
 	claimTimeout = 3 * time.Second
-	// maxHops bounds how often a request is sent on to another group. Chosen, not
-	// measured.
-	maxHops = 2
-	// defaultTimeout is a request's time where neither caller nor service say. Chosen,
-	// not measured.
-	defaultTimeout = 2 * time.Minute
-	percent        = 100
+	// maxRedirects bounds the redirects of a request to other groups.
+	maxRedirects = 2
+	// defaultRequestTimeout applies if neither the caller nor the service sets a timeout.
+	defaultRequestTimeout = 2 * time.Minute
+	percent               = 100
 )
 
-// phase is where a call stands.
+// phase is the stage of a call.
 type phase uint8
 
 const (
 	phaseClaiming phase = iota
-	phaseAsking
+	phaseRequestingPermit
 	phaseQueued
-	phaseWaiting
+	phaseRetryDelay
 	phaseRunning
-	phaseFetching
+	phaseFetchingAnswer
 )
 
-// call is one caller's request in progress.
+// call is a caller's request in progress.
 type call struct {
-	req     Request
+	request Request
 	account config.Account
 	class   config.Class
 	service config.Service
 	phase   phase
-	// wake is when the phase has lasted too long.
-	wake  time.Time
-	group routing.GroupID
-	// owner holds the place; "" after a pick by own view.
-	owner   ident.Host
-	target  ident.Target
-	attempt int
-	hops    int
-	// permitRequests counts the requests for a place; place names the newest.
+	// timerAt is when the timer of the phase expires; zero for none.
+	timerAt time.Time
+	group   routing.GroupID
+	// owner granted the permit or is asked for it; empty after a pick without a permit.
+	owner     ident.Host
+	target    ident.Target
+	attempt   int
+	redirects int
+	// permitRequests counts the permits requested; permit identifies the newest.
 	permitRequests int
 	permit         ident.PermitID
-	// final is set where the request must not be sent to yet another group.
-	final bool
-	tried []ident.Target
-	// content identifies the call among those that are the same. boot is the start of its
-	// target, as known when the attempt was sent at sentAt.
-	content crashes.Content
-	boot    uint64
-	sentAt  time.Time
-	// avoid are groups in which a target could not be reached.
-	avoid []routing.GroupID
-	// combined joins the outcomes of the attempts so far.
-	combined outcome.Kind
-	// claimed is true while this call may hold the claim of its key; decided
-	// once the claim's answer proves what earlier requests under it did.
-	claimed, decided bool
-	// denied is the answer to the caller where the earlier request's answer
-	// cannot be had.
-	denied Verdict
+	// final is set if the request must not be redirected to another group.
+	final        bool
+	triedTargets []ident.Target
+	// content identifies identical requests of an account. targetBoot is the incarnation of the
+	// target's process known when the attempt was sent at sentAt.
+	content    crashes.Content
+	targetBoot uint64
+	sentAt     time.Time
+	// avoidGroups are groups in which a target was unreachable.
+	avoidGroups []routing.GroupID
+	// combinedOutcome combines the outcomes of all attempts so far.
+	combinedOutcome outcome.Kind
+	// claimed is set while this call may hold the claim of its key. claimDecided is set once the
+	// result of the claim shows what earlier requests under the key did.
+	claimed, claimDecided bool
+	// denial is the verdict if the answer of the earlier request is not available.
+	denial Verdict
 }
 
-func (t *transition) keepCall(c call) { t.calls = t.calls.With(c.req.ID, c) }
+func (t *transition) storeCall(c call) { t.calls = t.calls.With(c.request.ID, c) }
 
-// arrive checks a request and starts it on its way.
-func (t *transition) arrive(r Request) {
+// handleRequestArrived admits a request and requests a claim or a permit for it.
+func (t *transition) handleRequestArrived(r Request) {
 	t.counters.Requests++
-	t.budget = min(maxBudget, t.budget+budgetPerRequest)
+	t.retryBudget = min(maxRetryBudget, t.retryBudget+retryBudgetPerRequest)
 	if r.Deadline.IsZero() {
-		r.Deadline = t.now.Add(defaultTimeout)
+		r.Deadline = t.now.Add(defaultRequestTimeout)
 	}
-	c := call{req: r, combined: outcome.NotRun}
+	c := call{request: r, combinedOutcome: outcome.NotRun}
 	if v, ok := t.admit(&c); !ok {
-		t.refuse(c, v)
+		t.answerCaller(c, v)
 		return
 	}
-	c.content = contentOf(c)
-	if t.isRefused(c) {
-		t.refuse(c, t.crashVerdict(c))
+	c.content = callContent(c)
+	if t.isRefusedForCrashes(c) {
+		t.answerCaller(c, t.crashVerdict(c))
 		return
 	}
 	t.addAccountInFlight(c.account.ID, 1)
-	t.keepCall(c)
-	if c.req.AtMostOnce && c.req.IdempotencyKey != "" {
-		t.claim(c)
+	t.storeCall(c)
+	if c.request.AtMostOnce && c.request.IdempotencyKey != "" {
+		t.submitClaim(c)
 		return
 	}
 	t.requestPermit(c)
 }
 
-// refuse answers the caller of a request that got no place. Only a decided claim proves
-// that nothing ran under a key before.
-func (t *transition) refuse(c call, v Verdict) {
-	if c.req.IdempotencyKey != "" && !c.decided && v.Outcome == outcome.NotRun {
+// answerCaller ends a request with a verdict. Only a decided claim proves that no earlier attempt
+// ran under an idempotency key.
+func (t *transition) answerCaller(c call, v Verdict) {
+	if c.request.IdempotencyKey != "" && !c.claimDecided && v.Outcome == outcome.NotRun {
 		// This attempt did not run, but an earlier one under its key may have.
 		v.Outcome = outcome.Unknown
 	}
 	t.countOutcome(v.Outcome)
-	t.emit(Finish{Request: c.req.ID, Verdict: v})
+	t.emit(Finish{Request: c.request.ID, Verdict: v})
 }
 
 func (t *transition) countOutcome(k outcome.Kind) {
@@ -132,19 +129,19 @@
 	}
 }
 
-// finish ends an admitted call: its place is freed, its claim settled.
-func (t *transition) finish(c call, v Verdict) {
-	t.calls = t.calls.Without(c.req.ID)
+// finishCall ends an admitted call, releases its permit and ends its claim.
+func (t *transition) finishCall(c call, v Verdict) {
+	t.calls = t.calls.Without(c.request.ID)
 	t.addAccountInFlight(c.account.ID, -1)
-	t.release(c)
+	t.releaseCall(c)
 	if c.claimed {
-		t.endClaim(c, c.combined)
+		t.endClaim(c, c.combinedOutcome)
 	}
-	t.refuse(c, v)
+	t.answerCaller(c, v)
 }
 
-// release gives back what the call holds on a target or in a queue.
-func (t *transition) release(c call) {
+// releaseCall releases the call's in-flight count and its permit or queue entry.
+func (t *transition) releaseCall(c call) {
 	if c.target != "" {
 		t.addInFlight(c.target, -1)
 	}
@@ -154,74 +151,74 @@
 }
 
 func (t *transition) addInFlight(id ident.Target, n int) {
-	have, _ := t.inFlight.Get(id)
-	if have+n <= 0 {
+	count, _ := t.inFlight.Get(id)
+	if count+n <= 0 {
 		t.inFlight = t.inFlight.Without(id)
 		return
 	}
-	t.inFlight = t.inFlight.With(id, have+n)
+	t.inFlight = t.inFlight.With(id, count+n)
 }
 
-func (t *transition) dispatch(c call, id ident.Target) {
+func (t *transition) dispatchCall(c call, id ident.Target) {
 	target, ok := t.config.Targets.Get(id)
-	if !ok || !t.now.Before(c.req.Deadline) {
-		t.finish(c, Verdict{Outcome: c.combined, Code: CodeDeadlineExceeded, Reason: "the deadline passed before a target was found"})
+	if !ok || !t.now.Before(c.request.Deadline) {
+		t.finishCall(c, Verdict{Outcome: c.combinedOutcome, Code: CodeDeadlineExceeded, Reason: "the deadline passed before a target was found"})
 		return
 	}
-	if t.isRefused(c) {
-		t.finish(c, t.crashVerdict(c))
+	if t.isRefusedForCrashes(c) {
+		t.finishCall(c, t.crashVerdict(c))
 		return
 	}
 	h, _ := t.health.Get(id)
-	c.boot, c.sentAt = h.Boot, t.now
+	c.targetBoot, c.sentAt = h.Boot, t.now
 	c.phase, c.target = phaseRunning, id
 	c.attempt++
-	c.wake = time.Time{}
-	c.tried = append(c.tried[:len(c.tried):len(c.tried)], id)
+	c.timerAt = time.Time{}
+	c.triedTargets = append(c.triedTargets[:len(c.triedTargets):len(c.triedTargets)], id)
 	t.addInFlight(id, 1)
-	t.keepCall(c)
+	t.storeCall(c)
 	t.emit(Dispatch{
-		Request: c.req.ID, Attempt: c.attempt, Target: target,
-		AtMostOnce: c.req.AtMostOnce, Rank: c.class.Rank, Deadline: c.req.Deadline,
+		Request: c.request.ID, Attempt: c.attempt, Target: target,
+		AtMostOnce: c.request.AtMostOnce, Rank: c.class.Rank, Deadline: c.request.Deadline,
 	})
 }
 
-// tickCalls moves on the calls whose phase has lasted too long.
+// tickCalls handles the calls whose timers have expired.
 func (t *transition) tickCalls() {
 	var due []call
 	for _, c := range t.calls.All() {
-		if !c.wake.IsZero() && !t.now.Before(c.wake) {
+		if !c.timerAt.IsZero() && !t.now.Before(c.timerAt) {
 			due = append(due, c)
 		}
 	}
 	for _, c := range due {
-		t.wake(c)
+		t.handleTimer(c)
 	}
 }
 
-func (t *transition) wake(c call) {
-	expired := !t.now.Before(c.req.Deadline)
+func (t *transition) handleTimer(c call) {
+	expired := !t.now.Before(c.request.Deadline)
 	switch {
 	case c.phase == phaseClaiming:
-		// The write's own deadline answers it.
-	case c.phase == phaseFetching:
-		t.finish(c, c.denied)
+		// The deadline of the claim's write ends the phase.
+	case c.phase == phaseFetchingAnswer:
+		t.finishCall(c, c.denial)
 	case expired:
-		t.finish(c, Verdict{
-			Outcome: c.combined, Code: CodeDeadlineExceeded, RetryAfter: retryAfter, Reason: "no place was free before the deadline",
+		t.finishCall(c, Verdict{
+			Outcome: c.combinedOutcome, Code: CodeDeadlineExceeded, RetryAfter: defaultRetryAfter, Reason: "no target became available before the deadline",
 		})
-	case c.phase == phaseAsking:
-		// In case the request still arrives at the owner.
-		t.note(LogOwnerUnreachable, c.group.String(), string(c.owner))
+	case c.phase == phaseRequestingPermit:
+		// The permit request may still reach the owner.
+		t.log(LogOwnerUnreachable, c.group.String(), string(c.owner))
 		t.send(c.owner, ReleasePermit{Place: c.permit})
-		t.pickLocally(c)
+		t.pickWithoutPermit(c)
 		t.suspect(c.owner)
 	case c.phase == phaseQueued:
-		// The reply that a place is free may have been lost.
-		c.wake = earlier(c.req.Deadline, t.now.Add(queuedPoll))
-		t.keepCall(c)
+		// The reply with the grant may have been lost.
+		c.timerAt = earlierTime(c.request.Deadline, t.now.Add(queuedPollInterval))
+		t.storeCall(c)
 		t.sendPermitRequest(c)
-	case c.phase == phaseWaiting:
+	case c.phase == phaseRetryDelay:
 		t.requestPermit(c)
 	}
 }
--- a/core/host/claim.go
+++ b/core/host/claim.go
@@ -10,83 +10,85 @@
 	"github.com/yardhall/yardhall/core/outcome"
 )
 
-// claim asks the replicated state for the right to run.
-func (t *transition) claim(c call) {
+// submitClaim submits a claim for the call's idempotency key to the replicated state.
+func (t *transition) submitClaim(c call) {
 	c.phase = phaseClaiming
-	c.wake = earlier(c.req.Deadline, t.now.Add(claimTimeout))
-	t.keepCall(c)
+	c.timerAt = earlierTime(c.request.Deadline, t.now.Add(claimTimeout))
+	t.storeCall(c)
 	t.counters.Claims++
 	t.submit(catalog.Write{
-		ID: "claim/" + string(c.req.ID), Actor: string(t.settings.ID),
+		ID: "claim/" + string(c.request.ID), Actor: string(t.settings.ID),
 		Command: catalog.ClaimRun{
-			Key:     catalog.ClaimKey{Account: c.account.ID, Key: c.req.IdempotencyKey},
-			Created: c.req.KeyCreated, Digest: c.req.Digest, Host: t.settings.ID, Request: c.req.ID,
+			Key:     catalog.ClaimKey{Account: c.account.ID, Key: c.request.IdempotencyKey},
+			Created: c.request.KeyCreated, Digest: c.request.Digest, Host: t.settings.ID, Request: c.request.ID,
 		},
-	}, c.wake)
+	}, c.timerAt)
 }
 
-// claimAnswered goes on with a call whose claim was decided.
-func (t *transition) claimAnswered(id ident.Request, r catalog.Result, known bool) {
+// handleClaimResult continues a call after the result of its claim. If known is false, the claim
+// may or may not have been granted.
+func (t *transition) handleClaimResult(id ident.Request, r catalog.Result, known bool) {
 	c, ok := t.calls.Get(id)
 	if !ok || c.phase != phaseClaiming {
-		t.dropClaim(id, r, known)
+		t.releaseAbandonedClaim(id, r, known)
 		return
 	}
 	if !known {
-		// Nothing was sent, and the claim, if it was taken, is given back.
+		// Nothing was sent to a target. finishCall ends the claim in case it was granted.
 		c.claimed = true
-		t.finish(c, Verdict{
-			Outcome: outcome.NotRun, Code: CodeClaimUnavailable, RetryAfter: retryAfter,
-			Reason: "the right to run it once could not be had in time; this attempt did not run",
+		t.finishCall(c, Verdict{
+			Outcome: outcome.NotRun, Code: CodeClaimUnavailable, RetryAfter: defaultRetryAfter,
+			Reason: "its claim was not decided in time; this attempt did not run",
 		})
 		return
 	}
-	c.decided = true
+	c.claimDecided = true
 	if r.Code == catalog.OK {
 		c.claimed = true
 		t.requestPermit(c)
 		return
 	}
 	t.counters.ClaimsDenied++
-	c.denied = deniedVerdict(r)
+	c.denial = deniedVerdict(r)
 	if r.Code == catalog.ClaimTaken && r.Claim.Ended == outcome.Ran {
-		t.fetchAnswer(c, r.Claim)
+		t.fetchEarlierAnswer(c, r.Claim)
 		return
 	}
-	t.finish(c, c.denied)
+	t.finishCall(c, c.denial)
 }
 
-// fetchTimeout bounds the wait for the answer of an earlier request.
-const fetchTimeout = time.Second
+// fetchAnswerTimeout bounds the wait for the stored answer of an earlier request.
+const fetchAnswerTimeout = time.Second
 
-// fetchAnswer asks the host that ran the earlier request for its answer.
-func (t *transition) fetchAnswer(c call, earlier catalog.Claim) {
-	c.phase, c.wake = phaseFetching, t.now.Add(fetchTimeout)
-	t.keepCall(c)
-	t.send(earlier.Host, FetchAnswer{Request: earlier.Request, For: c.req.ID})
+// fetchEarlierAnswer requests the stored answer from the host that ran the earlier request.
+func (t *transition) fetchEarlierAnswer(c call, earlier catalog.Claim) {
+	c.phase, c.timerAt = phaseFetchingAnswer, t.now.Add(fetchAnswerTimeout)
+	t.storeCall(c)
+	t.send(earlier.Host, FetchAnswer{Request: earlier.Request, For: c.request.ID})
 }
 
-func (t *transition) answerOf(m AnswerOf) {
+func (t *transition) handleAnswerOf(m AnswerOf) {
 	c, ok := t.calls.Get(m.For)
-	if !ok || c.phase != phaseFetching {
+	if !ok || c.phase != phaseFetchingAnswer {
 		return
 	}
-	v := c.denied
+	v := c.denial
 	v.Answer = m.Answer
-	t.finish(c, v)
+	t.finishCall(c, v)
 }
 
-// deniedVerdict tells what is known of the earlier request under the same key.
+// deniedVerdict returns the verdict of a call whose claim was denied, with what is known of the
+// earlier request under the same key.
 func deniedVerdict(r catalog.Result) Verdict {
 	v := Verdict{Outcome: outcome.Unknown, Reason: r.Reason, Claim: &r.Claim}
 	switch r.Code {
 	case catalog.ClaimTaken:
-		v.Code, v.Reason = CodeAlreadyRunning, "a request with this key has begun and its end is not known"
+		v.Code, v.Reason = CodeAlreadyRunning, "a request with this key has started and its outcome is unknown"
 		if r.Claim.Ended == outcome.Ran {
-			v.Outcome, v.Code, v.Reason = outcome.Ran, CodeAlreadyRan, "a request with this key has run"
+			v.Outcome, v.Code, v.Reason = outcome.Ran, CodeAlreadyRan, "a request with this key has already run"
 		}
 	case catalog.KeyExpired:
-		// An earlier attempt under this key may have run and been forgotten.
+		// An earlier attempt under this key may have run; its claim has expired.
 		v.Code, v.Claim = CodeKeyExpired, nil
 	case catalog.KeyReused:
 		v.Outcome, v.Code = outcome.NotRun, CodeKeyReused
@@ -96,23 +98,23 @@
 	return v
 }
 
-// dropClaim gives back a claim whose caller left before it was granted.
-func (t *transition) dropClaim(id ident.Request, r catalog.Result, known bool) {
+// releaseAbandonedClaim ends a claim that was granted after its call had finished.
+func (t *transition) releaseAbandonedClaim(id ident.Request, r catalog.Result, known bool) {
 	if known && r.Code == catalog.OK && r.Claim.Request == id {
-		t.submitEnd(r.Claim.Key, id, outcome.NotRun)
+		t.submitClaimEnd(r.Claim.Key, id, outcome.NotRun)
 	}
 }
 
 func (t *transition) endClaim(c call, k outcome.Kind) {
-	t.submitEnd(catalog.ClaimKey{Account: c.account.ID, Key: c.req.IdempotencyKey}, c.req.ID, k)
+	t.submitClaimEnd(catalog.ClaimKey{Account: c.account.ID, Key: c.request.IdempotencyKey}, c.request.ID, k)
 }
 
-func (t *transition) submitEnd(key catalog.ClaimKey, id ident.Request, k outcome.Kind) {
+func (t *transition) submitClaimEnd(key catalog.ClaimKey, id ident.Request, k outcome.Kind) {
 	t.submit(catalog.Write{
 		ID: "end/" + string(id), Actor: string(t.settings.ID),
 		Command: catalog.EndClaim{Key: key, Request: id, Outcome: k},
-	}, t.now.Add(endClaimTime))
+	}, t.now.Add(endClaimTimeout))
 }
 
-// endClaimTime is how long the end of a claim is sent again until answered.
-const endClaimTime = time.Minute
+// endClaimTimeout is how long the write that ends a claim is retried.
+const endClaimTimeout = time.Minute
--- a/core/host/clients.go
+++ b/core/host/clients.go
@@ -14,63 +14,61 @@
 	"github.com/yardhall/yardhall/core/registry"
 )
 
-// A replica or a hub replies to each poll with what the client lacks: confirmation,
-// route table, registrations, loads, lists of hubs and fallback peers. It remembers what
-// it sent, so that changes can be sent without another poll (updates.go).
+// A replica or a hub replies to each poll with what the client lacks: confirmation, route table,
+// registrations, loads, and the lists of hubs and fallback peers. It records what it sent, so that
+// it can send changes without another poll (updates.go).
 const (
-	// clientLifetime is how long a host that polled counts as a client: almost three of
-	// the longest intervals between polls.
+	// clientLifetime is how long a host counts as a client after its last poll: almost three times
+	// the maximum poll interval.
 	clientLifetime = 4 * time.Second
-	// earlierProcessLifetime is how long after a poll of a process one of a process that
-	// started before it is taken for late: longer than hosts leave between two polls.
-	// After that the order of starts may be wrong, as it is read from clocks, which are
-	// set.
+	// earlierProcessLifetime is how long after a poll those of an earlier process at the same
+	// address are ignored as delayed. It exceeds the interval between polls. Later polls are
+	// accepted, as incarnations come from the system clock, which may be set back.
 	earlierProcessLifetime = maxPollInterval + minPollInterval
-	// inTransit is how long registrations that were sent may take to arrive. Chosen, not
-	// measured.
-	inTransit = 2 * time.Second
+	// maxTransitTime is how long registrations may take to arrive before they are sent again.
+	maxTransitTime = 2 * time.Second
 )
 
 // client is a host that polls this one.
 type client struct {
-	// version and revision are the table and the registrations that it has.
+	// version and revision are the route table and registrations that the client holds.
 	version  config.Version
 	revision uint64
 	lastPoll time.Time
 	boot     uint64
-	// sent is the revision to which registrations were sent at sentAt, updatedAt when
-	// any were sent last.
-	sent      uint64
-	sentAt    time.Time
-	updatedAt time.Time
-	// table is set where the host has the route table from this one.
-	table  bool
-	serves bool
-	// fallback is set where the host polls this entry host in place of replicas.
+	// sentRevision is the revision up to which registrations were sent at sentAt; updatedAt is when
+	// registrations were last sent.
+	sentRevision uint64
+	sentAt       time.Time
+	updatedAt    time.Time
+	// receivesTable is set if the client gets the route table from this host.
+	receivesTable bool
+	serves        bool
+	// fallback is set if the client polls this entry host because no replica replies.
 	fallback bool
-	// crashList names the list of crashes that it holds.
+	// crashList is the key of the client's crash list.
 	crashList hash.Key
-	// knowsZones is set where its program knows of drained zones, zones is the revision of
-	// them that it holds.
-	knowsZones bool
-	zones      uint64
-	loads      loads.Digest
-	// host is how the client is reported to others. A hub counts the clients whose primary
-	// hub it is; group are those that the client itself counts as a hub.
+	// supportsZones is set if the client's version supports drained zones; zonesRevision is the
+	// revision that it holds.
+	supportsZones bool
+	zonesRevision uint64
+	loads         loads.Digest
+	// host describes the client to others. primary is set if this hub is the client's primary hub;
+	// group holds the hosts that a client which is a hub counts itself.
 	host    hubs.Host
 	primary bool
 	group   []hubs.Host
 }
 
-// live tells whether the client polled not long ago.
-func (c client) live(now time.Time) bool { return now.Sub(c.lastPoll) <= clientLifetime }
+// isLive reports whether the client polled within clientLifetime.
+func (c client) isLive(now time.Time) bool { return now.Sub(c.lastPoll) <= clientLifetime }
 
-// pollReceived replies to a host, and remembers it for what changes next.
-func (t *transition) pollReceived(from ident.Host, m Poll) {
+// handlePoll processes the reports in a host's poll and replies to it.
+func (t *transition) handlePoll(from ident.Host, m Poll) {
 	if m.Neighbour && t.settings.Serves && !t.seeded.hub.serves {
 		t.becomeHub()
 	}
-	if !t.repliesToPolls() || t.isOfEarlierProcess(from, m) {
+	if !t.repliesToPolls() || t.isFromEarlierProcess(from, m) {
 		return
 	}
 	if m.Leaves {
@@ -79,19 +77,19 @@
 	}
 	t.grantLease(from, m)
 	t.grantZonesLease(from, m)
-	t.relayedHeartbeats(from, m.Beats)
+	t.handleRelayedHeartbeats(from, m.Beats)
 	t.replacedReceived(from, m.Replaced)
-	t.takeCrashEntries(from, m.CrashEntries)
-	t.crashesReceived(from, m.Crashes)
-	t.replyTo(from, t.clientOf(from, m), m)
+	t.handleCrashEntries(from, m.CrashEntries)
+	t.handleCrashReports(from, m.Crashes)
+	t.sendReply(from, t.newClient(from, m), m)
 }
 
-// clientOf is a client as its poll describes it, with what is known of it besides.
-func (t *transition) clientOf(from ident.Host, m Poll) client {
+// newClient returns the client described by a poll, with what is known from earlier ones.
+func (t *transition) newClient(from ident.Host, m Poll) client {
 	c := client{
-		version: m.Version, revision: m.Revision, lastPoll: t.now, table: m.Table, serves: m.Serves, loads: m.Loads,
+		version: m.Version, revision: m.Revision, lastPoll: t.now, receivesTable: m.Table, serves: m.Serves, loads: m.Loads,
 		boot: m.Boot, host: hubs.Host{Host: from, Zone: m.Zone, Relay: m.Relay}, primary: m.Home, group: m.Group,
-		fallback: m.Neighbour, crashList: m.CrashList, knowsZones: m.KnowsZones, zones: m.Zones,
+		fallback: m.Neighbour, crashList: m.CrashList, supportsZones: m.KnowsZones, zonesRevision: m.Zones,
 	}
 	if m.Epoch != t.settings.Incarnation {
 		c.revision = 0
@@ -104,27 +102,27 @@
 	if !m.Grouped {
 		c.group = before.group
 	}
-	if before.sent > c.revision && t.now.Sub(before.sentAt) < inTransit {
-		// What was sent is likely still in transit: sent again it would only add to what
-		// holds it up.
-		c.revision, c.sent, c.sentAt = before.sent, before.sent, before.sentAt
+	if before.sentRevision > c.revision && t.now.Sub(before.sentAt) < maxTransitTime {
+		// The registrations sent last are probably still in transit; sending them again would only
+		// add to the congestion.
+		c.revision, c.sentRevision, c.sentAt = before.sentRevision, before.sentRevision, before.sentAt
 	}
 	return c
 }
 
-// isOfEarlierProcess tells whether a poll was in transit for so long that another process
-// at the same address has polled meanwhile.
-func (t *transition) isOfEarlierProcess(from ident.Host, m Poll) bool {
+// isFromEarlierProcess reports whether a poll was delayed so long that a newer process at the same
+// address has polled since.
+func (t *transition) isFromEarlierProcess(from ident.Host, m Poll) bool {
 	before, ok := t.seeded.clients.Get(from)
 	return ok && m.Boot < before.boot && t.now.Sub(before.lastPoll) < earlierProcessLifetime
 }
 
-// relayedHeartbeats takes the heartbeats that a relay took: a replica registers them, a
-// hub gathers them for the replicas.
-func (t *transition) relayedHeartbeats(from ident.Host, packed []byte) {
+// handleRelayedHeartbeats handles heartbeats that a relay accepted: a replica registers the
+// workers, a hub forwards the heartbeats to replicas.
+func (t *transition) handleRelayedHeartbeats(from ident.Host, packed []byte) {
 	workers, err := registry.Unpack(packed)
 	if err != nil {
-		t.note(LogWorkerRegistration, string(from), "sent heartbeats that cannot be read: "+err.Error())
+		t.log(LogWorkerRegistration, string(from), "sent unreadable heartbeats: "+err.Error())
 	}
 	if !t.settings.IsReplica() {
 		t.seeded.relay = t.seeded.relay.WithHeartbeats(workers...)
@@ -132,32 +130,32 @@
 	}
 	for _, w := range workers {
 		if reason := t.invalidReason(w); reason != "" {
-			t.heartbeatInvalid(w.ID, reason+", by "+string(from))
+			t.heartbeatInvalid(w.ID, reason+", relayed by "+string(from))
 		} else if t.registry.HasRoom(w.ID) {
 			t.registerHeartbeat(w)
 		}
 	}
 }
 
-// replyTo sends what the client lacks and remembers what it has then.
-func (t *transition) replyTo(to ident.Host, c client, m Poll) {
+// sendReply sends a client what it lacks and records what it holds then.
+func (t *transition) sendReply(to ident.Host, c client, m Poll) {
 	workers, revision := t.nextWorkers(c.revision)
 	if t.hubsExpected() {
 		workers, revision = nil, c.revision
 	}
-	if !c.knowsZones {
-		workers = t.workersForEarlier(workers)
+	if !c.supportsZones {
+		workers = t.workersForEarlierVersion(workers)
 	}
-	held := t.heldConfig().Version
+	held := t.currentConfig().Version
 	r := PollReply{
-		Zones: t.heldZones(),
+		Zones: t.currentZones(),
 		Round: m.Round, Version: held,
 		Epoch: t.settings.Incarnation, Since: c.revision, Revision: revision, Workers: workers,
 		CrashList: t.requests.CrashList().Key, CrashEntries: t.crashEntriesFor(c.crashList),
 	}
-	c.crashList, c.zones = r.CrashList, r.Zones.Revision
+	c.crashList, c.zonesRevision = r.CrashList, r.Zones.Revision
 	if t.settings.IsReplica() {
-		r = t.replicaReply(r, m)
+		r = t.withReplicaFields(r, m)
 	} else {
 		r = t.hubReply(r, m)
 	}
@@ -169,20 +167,20 @@
 		r = t.withHubList(r, m)
 		r = t.withFallbackPeers(r, m)
 	}
-	if c.table && c.version < held && t.seeded.bulkBytes < bulkBytesPerTick {
+	if c.receivesTable && c.version < held && t.seeded.bulkBytes < maxBulkBytesPerTick {
 		r.Gateway, r.Base = t.packedTable(c.version)
 		c.version = held
 		t.seeded.bulkBytes += len(r.Gateway)
 	}
 	if revision > c.revision {
-		c.revision, c.sent, c.sentAt, c.updatedAt = revision, revision, t.now, t.now
+		c.revision, c.sentRevision, c.sentAt, c.updatedAt = revision, revision, t.now, t.now
 	}
 	t.seeded.clients = t.seeded.clients.With(to, c)
 	t.send(to, r)
 }
 
-// replicaReply adds to a reply what only a replica knows.
-func (t *transition) replicaReply(r PollReply, m Poll) PollReply {
+// withReplicaFields sets the fields of a reply that only replicas know.
+func (t *transition) withReplicaFields(r PollReply, m Poll) PollReply {
 	r.Leader, r.Hosts = t.raft.Leader().Address(), t.sumLoads().serving
 	if m.Lead {
 		r.Fresh = t.raft.LeaseHeld(t.now)
@@ -192,15 +190,15 @@
 	return r
 }
 
-// heldConfig is the configuration that this host sends others.
-func (t *transition) heldConfig() config.Config {
+// currentConfig returns the configuration that this host sends to others.
+func (t *transition) currentConfig() config.Config {
 	if t.settings.IsReplica() {
 		return t.catalog.Config
 	}
 	return t.config
 }
 
-// memberAddresses are the addresses of the replicas, as this one knows them.
+// memberAddresses returns the addresses of the replicas known to this one.
 func (t *transition) memberAddresses() []ident.Host {
 	var out []ident.Host
 	for _, m := range t.raft.Members() {
--- a/core/host/counters.go
+++ b/core/host/counters.go
@@ -2,7 +2,7 @@
 
 package host
 
-// Counters count what a process decided; they only grow.
+// Counters are monotonic counters of a process's decisions.
 type Counters struct {
 	Requests      uint64
 	Ran           uint64
@@ -25,12 +25,12 @@
 	Adopted       uint64
 	Ejections     uint64
 	Repairs       uint64
-	// Heartbeats counts workers' heartbeats taken here, HeartbeatsRedirected those of
-	// them answered with a relay for the next ones, HeartbeatsDeclined those that this
-	// host did not take. Their JSON names are those of the metrics port.
+	// Heartbeats counts the worker heartbeats that this host accepted, HeartbeatsRedirected those
+	// answered with a relay address, HeartbeatsDeclined those that it declined. The metrics port
+	// uses their JSON names.
 	Heartbeats           uint64 `json:"Beats"`
 	HeartbeatsRedirected uint64 `json:"BeatsNamed"`
 	HeartbeatsDeclined   uint64 `json:"BeatsDeclined"`
-	// HeartbeatsInvalid counts those that name no worker to use.
+	// HeartbeatsInvalid counts heartbeats that were unreadable or described no usable worker.
 	HeartbeatsInvalid uint64
 }
--- a/core/host/crashes.go
+++ b/core/host/crashes.go
@@ -12,22 +12,22 @@
 	"github.com/yardhall/yardhall/core/table"
 )
 
-// Package requests sees workers end under requests and refuses those that end them, package
-// crashes decides which ones these are. Here is how all hosts come to know: hosts report what
-// they see in polls, at once and some times over; each replica judges for itself, without a
-// leader, and sends its list to all hosts, as hubs pass it on. Lists are joined, so that
-// whoever has started again, was cut off or has lost its disk learns them from any other;
-// replicas keep them on disk for when all have lost power.
+// Package requests detects workers that crash while they run requests and refuses the requests that
+// cause it; package crashes decides which requests do. This file distributes that knowledge: hosts
+// report crashes in polls, immediately and several times; each replica evaluates the reports on its
+// own, without a leader, and sends its crash list to all hosts, through hubs in large fleets. Crash
+// lists are merged, so a host that restarted, was partitioned or lost its disk learns them from any
+// other. Replicas store them on disk, as all hosts may lose power.
 //
-// A program from before it neither reports nor obeys, and passes nothing on: while two
-// versions run, a request is refused by the hosts that know of it.
+// Hosts of an earlier version neither report crashes, nor refuse requests, nor forward either. In a
+// mixed fleet only the hosts that know of a request refuse it.
 
-// crashPollGap is kept between two polls that are sent early because a worker ended: when
-// many end at once, hosts report them together. Chosen, not measured.
-const crashPollGap = 100 * time.Millisecond
+// minCrashPollInterval is the time between two polls sent early because of crashes, so that crashes
+// at about the same time are reported together.
+const minCrashPollInterval = 100 * time.Millisecond
 
-// CrashReport reports an attempt that was in progress when its worker's process ended, Age
-// ago, after it had run for Ran. Its fields travel by their names.
+// CrashReport reports an attempt that was in progress when its worker's process exited, Age ago,
+// after it had run for Ran. Its gob encoding depends on the field names.
 type CrashReport struct {
 	Content crashes.Content
 	Attempt string
@@ -37,92 +37,91 @@
 	Begun   bool
 }
 
-// CrashEntry is an entry of a list of crashes, Age old. Its fields travel by their names.
+// CrashEntry is an entry of a crash list, updated Age ago. Its gob encoding depends on the field
+// names.
 type CrashEntry struct {
 	Content crashes.Content
 	Ends    int
 	Age     time.Duration
 }
 
-// crashState is what a process keeps of crashes, beside the list in force, which package
-// requests holds.
+// crashState is a process's state on crashes. Package requests holds the current crash list.
 type crashState struct {
-	// evidence is what was reported to a replica or a host of a listed fleet; clients are what
-	// a hub passes on to replicas, observer what a host of a listed fleet sees itself.
-	evidence crashes.Evidence
-	clients  crashes.Reports
-	observer crashes.Observer
-	// reported counts the crashes that polls have reported.
-	reported uint64
-	// kept names what a replica has put on disk.
-	kept hash.Key
-	// answered are the requests that a host of a listed fleet had answered lately.
-	answered crashes.Answers
-	// answers are when requests that are watched were answered, to be reported to those who
-	// judge until reportedUntil; reportDue is set while one was not reported yet.
-	answers       table.Table[crashes.Content, time.Time]
-	reportedUntil time.Time
-	reportDue     bool
-	// judgedAt is since when each request has had enough ends to be watched.
-	judgedAt table.Table[crashes.Content, time.Time]
+	// evidence holds the reports received by a replica or a host of a listed fleet, clientReports
+	// those that a hub forwards to replicas. observer detects crashes on a host of a listed fleet.
+	evidence      crashes.Evidence
+	clientReports crashes.Reports
+	observer      crashes.Observer
+	// reportedCount is the number of crashes that polls have reported.
+	reportedCount uint64
+	// persistedKey is the key of the crash list that a replica has persisted.
+	persistedKey hash.Key
+	// recentAnswers are the requests recently answered on a host of a listed fleet.
+	recentAnswers crashes.Answers
+	// answersToReport holds when suspected requests were answered. They are reported until
+	// reportAnswersUntil; answerReportDue is set while one has not been reported.
+	answersToReport    table.Table[crashes.Content, time.Time]
+	reportAnswersUntil time.Time
+	answerReportDue    bool
+	// suspectedSince is when each request first had enough crashes to be suspected.
+	suspectedSince table.Table[crashes.Content, time.Time]
 }
 
-// crashesSeen counts the crashes to be reported.
-func (t *transition) crashesSeen() uint64 {
-	return t.requests.Crashes().Seen + t.crashes.clients.Seen + t.crashes.observer.Reports().Seen
+// crashCount returns the number of crashes detected here or reported by clients.
+func (t *transition) crashCount() uint64 {
+	return t.requests.Crashes().Seen + t.crashes.clientReports.Seen + t.crashes.observer.Reports().Seen
 }
 
-// crashReportDue tells whether this host polls early, as it has seen a worker end.
-func (t *transition) crashReportDue() bool {
+// crashPollDue reports whether this host should poll early to report crashes or answers.
+func (t *transition) crashPollDue() bool {
 	lastPoll := t.seeded.pollAt.Add(-t.pollInterval())
-	return (t.crashesSeen() != t.crashes.reported || t.crashes.reportDue) && t.now.Sub(lastPoll) >= crashPollGap
+	return (t.crashCount() != t.crashes.reportedCount || t.crashes.answerReportDue) && t.now.Sub(lastPoll) >= minCrashPollInterval
 }
 
-// answersReported is for how long answers are reported, in some messages one after the other,
-// as one may be lost.
-const answersReported = 2 * time.Second
+// answerReportWindow is how long an answer is reported, in several messages as one may be lost.
+const answerReportWindow = 2 * time.Second
 
-// reportAnswer has it reported to those who judge that a watched request was answered.
-func (t *transition) reportAnswer(content crashes.Content, at time.Time) {
-	if have, ok := t.crashes.answers.Get(content); ok && !at.After(have) {
+// queueAnswerReport queues a report that a suspected request was answered.
+func (t *transition) queueAnswerReport(content crashes.Content, at time.Time) {
+	if previous, ok := t.crashes.answersToReport.Get(content); ok && !at.After(previous) {
 		return
 	}
-	t.crashes.answers = t.crashes.answers.With(content, at)
-	t.crashes.reportedUntil, t.crashes.reportDue = t.now.Add(answersReported), true
+	t.crashes.answersToReport = t.crashes.answersToReport.With(content, at)
+	t.crashes.reportAnswersUntil, t.crashes.answerReportDue = t.now.Add(answerReportWindow), true
 }
 
-// noteAnswers has the answers reported that this host remembers of requests that are watched
-// from now on, and of those that are, what was answered since.
-func (t *transition) noteAnswers() {
+// queueKnownAnswers queues reports of the answers that this host remembers for requests on the
+// crash list.
+func (t *transition) queueKnownAnswers() {
 	for _, e := range t.requests.CrashList().Entries() {
 		at, ok := t.requests.AnsweredAt(e.Content, t.now)
 		if !ok {
-			at, ok = t.crashes.answered.At(e.Content, t.now)
+			at, ok = t.crashes.recentAnswers.At(e.Content, t.now)
 		}
 		if ok && e.Ends > 0 {
-			t.reportAnswer(e.Content, at)
+			t.queueAnswerReport(e.Content, at)
 		}
 	}
 }
 
-// answerEntries are the answers to be reported now.
+// answerEntries returns the queued answer reports. Once the report window is over, it drops them.
 func (t *transition) answerEntries() []CrashEntry {
-	t.crashes.reportDue = false
-	if t.now.After(t.crashes.reportedUntil) {
-		t.crashes.answers = table.Table[crashes.Content, time.Time]{}
+	t.crashes.answerReportDue = false
+	if t.now.After(t.crashes.reportAnswersUntil) {
+		t.crashes.answersToReport = table.Table[crashes.Content, time.Time]{}
 	}
 	var out []CrashEntry
-	for content, at := range t.crashes.answers.All() {
+	for content, at := range t.crashes.answersToReport.All() {
 		out = append(out, CrashEntry{Content: content, Age: t.now.Sub(at)})
 	}
 	return out
 }
 
-// crashReport are the crashes seen lately, here or at the clients of this hub.
-func (t *transition) crashReport() []CrashReport {
-	t.crashes.reported = t.crashesSeen()
+// crashReports returns the recent crashes detected here or reported by the clients of this hub.
+func (t *transition) crashReports() []CrashReport {
+	t.crashes.reportedCount = t.crashCount()
 	all := t.requests.Crashes().Lately(t.now)
-	all = append(all, t.crashes.clients.Lately(t.now)...)
+	all = append(all, t.crashes.clientReports.Lately(t.now)...)
 	all = append(all, t.crashes.observer.Reports().Lately(t.now)...)
 	out := make([]CrashReport, 0, len(all))
 	for _, r := range all {
@@ -134,20 +133,21 @@
 	return out
 }
 
-// judgesCrashes tells whether this host decides from evidence: a replica, or any host of a
-// listed fleet, as all hear each other there.
-func (t *transition) judgesCrashes() bool { return t.settings.IsReplica() || !t.settings.Seeded() }
+// evaluatesCrashes reports whether this host evaluates crash reports: a replica does, and every
+// host of a listed fleet, as all of them receive each other's heartbeats.
+func (t *transition) evaluatesCrashes() bool { return t.settings.IsReplica() || !t.settings.Seeded() }
 
-// crashesReceived takes what another host reports: evidence, or on a hub what it passes on.
-func (t *transition) crashesReceived(from ident.Host, reports []CrashReport) {
+// handleCrashReports adds another host's reports to the evidence, or on a hub to the reports to
+// forward.
+func (t *transition) handleCrashReports(from ident.Host, reports []CrashReport) {
 	for _, r := range reports {
 		ended := t.now.Add(-max(0, r.Age))
 		c := crashes.Crash{
 			Attempt: r.Attempt, Worker: r.Worker, SentAt: ended.Add(-max(0, r.Ran)), EndedAt: ended, Begun: r.Begun,
 		}
-		if !t.judgesCrashes() {
+		if !t.evaluatesCrashes() {
 			report := crashes.Report{Content: r.Content, Crash: c, SeenAt: t.now}
-			t.crashes.clients = t.crashes.clients.With(report, t.now)
+			t.crashes.clientReports = t.crashes.clientReports.With(report, t.now)
 			continue
 		}
 		if e, ok := t.requests.CrashList().Get(r.Content); ok && e.Ends == 0 && !c.EndedAt.After(e.At) {
@@ -155,71 +155,73 @@
 		}
 		t.crashes.evidence = t.crashes.evidence.With(r.Content, c, t.now)
 	}
-	if t.judgesCrashes() && len(reports) > 0 {
-		t.judgeCrashes(from)
+	if t.evaluatesCrashes() && len(reports) > 0 {
+		t.evaluateCrashes(from)
 	}
 }
 
-// judgeCrashes takes what the evidence says. A request with enough ends has been watched for a
-// moment first, in which hosts report whether it was answered meanwhile.
-func (t *transition) judgeCrashes(from ident.Host) {
-	judged := t.crashes.evidence.Judged(t.now)
+// evaluateCrashes merges the verdicts of the evidence into the crash list. A request with enough
+// crashes is only suspected for crashes.AnswersWithin, so that hosts can report that it was
+// answered in the meantime.
+func (t *transition) evaluateCrashes(from ident.Host) {
+	suspects := t.crashes.evidence.Judged(t.now)
 	pending := table.Table[crashes.Content, time.Time]{}
-	for i, e := range judged {
-		at, known := t.crashes.judgedAt.Get(e.Content)
+	for i, e := range suspects {
+		since, known := t.crashes.suspectedSince.Get(e.Content)
 		if !known {
-			at = t.now
+			since = t.now
 		}
-		pending = pending.With(e.Content, at)
-		if t.now.Sub(at) < crashes.AnswersWithin {
-			judged[i] = e.Watched()
+		pending = pending.With(e.Content, since)
+		if t.now.Sub(since) < crashes.AnswersWithin {
+			suspects[i] = e.Watched()
 		}
 	}
-	t.crashes.judgedAt = pending
-	t.takeCrashes(from, judged)
+	t.crashes.suspectedSince = pending
+	t.mergeCrashes(from, suspects)
 }
 
-// tickCrashes judges again once hosts had the time to report answers of what is watched.
+// tickCrashes evaluates the evidence again once hosts had time to report answers to suspected
+// requests.
 func (t *transition) tickCrashes() {
-	for _, at := range t.crashes.judgedAt.All() {
-		if waited := t.now.Sub(at); waited >= crashes.AnswersWithin && waited < crashes.AnswersWithin+judgeAgainFor {
-			t.judgeCrashes(t.settings.ID)
+	for _, at := range t.crashes.suspectedSince.All() {
+		if waited := t.now.Sub(at); waited >= crashes.AnswersWithin && waited < crashes.AnswersWithin+reevaluationWindow {
+			t.evaluateCrashes(t.settings.ID)
 			return
 		}
 	}
 }
 
-// judgeAgainFor is how long after that a tick judges again: several ticks. Later it is what is
-// reported that changes the judgement.
-const judgeAgainFor = 200 * time.Millisecond
+// reevaluationWindow is how long ticks evaluate again: several ticks. After that only new reports
+// change the result.
+const reevaluationWindow = 200 * time.Millisecond
 
-// takeCrashEntries takes the list of another host.
-func (t *transition) takeCrashEntries(from ident.Host, entries []CrashEntry) {
+// handleCrashEntries merges another host's crash list.
+func (t *transition) handleCrashEntries(from ident.Host, entries []CrashEntry) {
 	if len(entries) == 0 {
 		return
 	}
-	taken := make([]crashes.Entry, 0, len(entries))
+	received := make([]crashes.Entry, 0, len(entries))
 	for _, e := range entries {
-		one := crashes.Entry{Content: e.Content, Ends: max(0, e.Ends), At: t.now.Add(-max(0, e.Age))}
-		if one.Ends == 0 {
-			t.answerReported(one)
+		entry := crashes.Entry{Content: e.Content, Ends: max(0, e.Ends), At: t.now.Add(-max(0, e.Age))}
+		if entry.Ends == 0 {
+			t.handleAnswerReport(entry)
 		}
-		taken = append(taken, one)
+		received = append(received, entry)
 	}
-	t.takeCrashes(from, taken)
+	t.mergeCrashes(from, received)
 }
 
-// answerReported takes that a request was answered, as another host reports; a hub passes it
-// on.
-func (t *transition) answerReported(e crashes.Entry) {
+// handleAnswerReport drops the evidence of before an answer that another host reports; a hub
+// forwards the report.
+func (t *transition) handleAnswerReport(e crashes.Entry) {
 	t.crashes.evidence = t.crashes.evidence.Without(e.Content, e.At)
-	if !t.judgesCrashes() && t.now.Sub(e.At) <= answersReported {
-		t.reportAnswer(e.Content, e.At)
+	if !t.evaluatesCrashes() && t.now.Sub(e.At) <= answerReportWindow {
+		t.queueAnswerReport(e.Content, e.At)
 	}
 }
 
-// takeCrashes joins entries to the list, and logs which requests are refused from now on.
-func (t *transition) takeCrashes(from ident.Host, entries []crashes.Entry) {
+// mergeCrashes merges entries into the crash list and logs the changes.
+func (t *transition) mergeCrashes(from ident.Host, entries []crashes.Entry) {
 	before := t.requests.CrashList()
 	after := before.With(t.now, entries...)
 	t.requests = t.requests.WithCrashList(after)
@@ -227,27 +229,27 @@
 		return
 	}
 	for _, e := range entries {
-		was, _ := before.Get(e.Content)
-		if is, _ := after.Get(e.Content); is.Ends != was.Ends {
-			t.note(LogCrashes, is.Content.String(), fmt.Sprintf("ends=%d before=%d last_ms=%d refused=%t by=%s",
-				is.Ends, was.Ends, t.now.Sub(is.At).Milliseconds(), is.Ends >= crashes.EndsToRefuse, from))
+		previous, _ := before.Get(e.Content)
+		if current, _ := after.Get(e.Content); current.Ends != previous.Ends {
+			t.log(LogCrashes, current.Content.String(), fmt.Sprintf("ends=%d before=%d last_ms=%d refused=%t by=%s",
+				current.Ends, previous.Ends, t.now.Sub(current.At).Milliseconds(), current.Ends >= crashes.EndsToRefuse, from))
 		}
 	}
-	t.noteAnswers()
-	t.keepCrashes(after)
+	t.queueKnownAnswers()
+	t.persistCrashes(after)
 }
 
-// keepCrashes puts on a replica's disk which requests are refused, and which no more.
-func (t *transition) keepCrashes(l crashes.List) {
-	kept := l.Settled()
-	if !t.settings.IsReplica() || kept.Key == t.crashes.kept {
+// persistCrashes stores the decided entries of the crash list on a replica's disk if they changed.
+func (t *transition) persistCrashes(l crashes.List) {
+	settled := l.Settled()
+	if !t.settings.IsReplica() || settled.Key == t.crashes.persistedKey {
 		return
 	}
-	t.crashes.kept = kept.Key
-	t.emit(PersistCrashes{Entries: t.crashEntries(kept)})
+	t.crashes.persistedKey = settled.Key
+	t.emit(PersistCrashes{Entries: t.crashEntries(settled)})
 }
 
-// crashEntries are the entries of a list as they travel.
+// crashEntries converts a crash list to its wire format.
 func (t *transition) crashEntries(l crashes.List) []CrashEntry {
 	out := make([]CrashEntry, 0, l.Len())
 	for _, e := range l.Entries() {
@@ -256,8 +258,8 @@
 	return out
 }
 
-// crashEntriesFor are the entries for a host that holds the list of a key; none where it
-// holds the same.
+// crashEntriesFor returns the crash list for a host whose list has the given key; nil if it is the
+// same.
 func (t *transition) crashEntriesFor(key hash.Key) []CrashEntry {
 	if l := t.requests.CrashList(); l.Key != key {
 		return t.crashEntries(l)
@@ -265,8 +267,8 @@
 	return nil
 }
 
-// forgetCrashes drops what is long ago.
-func (t *transition) forgetCrashes() {
+// expireCrashes drops expired entries and evidence.
+func (t *transition) expireCrashes() {
 	if t.requests.CrashList().Len() == 0 && t.crashes.evidence.Len() == 0 {
 		return
 	}
@@ -274,10 +276,10 @@
 	t.crashes.evidence = t.crashes.evidence.Forget(t.now)
 }
 
-// WithCrashList returns the process with the list of crashes read from disk.
+// WithCrashList returns the state with the crash list read from disk.
 func (s State) WithCrashList(entries []CrashEntry, now time.Time) State {
 	t := transition{State: s, now: now}
-	t.takeCrashEntries(s.settings.ID, entries)
-	t.crashes.kept = t.requests.CrashList().Settled().Key
+	t.handleCrashEntries(s.settings.ID, entries)
+	t.crashes.persistedKey = t.requests.CrashList().Settled().Key
 	return t.State
 }
--- a/core/host/crashes_test.go
+++ b/core/host/crashes_test.go
@@ -170,8 +170,8 @@
 	require.NotEmpty(t, f.refusedAt[badRequest])
 }
 
-// ofEarlierProgram is a message as a program from before sends and reads it.
-func ofEarlierProgram(m host.Message) host.Message {
+// asEarlierVersion is a message as a program from before sends and reads it.
+func asEarlierVersion(m host.Message) host.Message {
 	switch m := m.(type) {
 	case host.Poll:
 		m.Crashes, m.CrashList, m.CrashEntries = nil, 0, nil
--- a/core/host/drain.go
+++ b/core/host/drain.go
@@ -4,13 +4,14 @@
 
 import "github.com/yardhall/yardhall/core/raft"
 
-// drain begins a planned stop: other hosts take over what this one owns, and another replica leads.
-func (t *transition) drain() {
+// startDrain starts a graceful shutdown: other hosts take over the groups of this one, and another
+// replica the leadership.
+func (t *transition) startDrain() {
 	if t.draining {
 		return
 	}
 	t.draining = true
-	t.note(LogDraining, string(t.settings.ID), "")
+	t.log(LogDraining, string(t.settings.ID), "")
 	if !t.settings.Seeded() {
 		t.sendHeartbeats()
 		t.ownersChanged()
--- a/core/host/fallback.go
+++ b/core/host/fallback.go
@@ -106,9 +106,9 @@
 	m.Cut = true
 	t.noteReply(from, m)
 	t.takeRegistrations(from, m)
-	t.takeCrashEntries(from, m.CrashEntries)
+	t.handleCrashEntries(from, m.CrashEntries)
 	t.takeTable(m)
-	t.takeZones(from, m.Zones)
+	t.adoptZones(from, m.Zones)
 	t.noteNewestTable(m.Version)
 	sent, known := t.takeRound(m.Round)
 	if known && m.Fresh {
--- a/core/host/follow.go
+++ b/core/host/follow.go
@@ -39,15 +39,15 @@
 	if t.raft.Active() {
 		t.tickReplicaReady()
 	}
-	if t.now.Before(t.followAt) {
+	if t.now.Before(t.nextFollowAt) {
 		return
 	}
-	t.followAt = t.now.Add(followInterval)
+	t.nextFollowAt = t.now.Add(followInterval)
 	if t.raft.Active() {
 		t.enterSelf()
 		return
 	}
-	t.follows++
+	t.followAttempts++
 	m := Follow{Host: t.selfHost(), Version: t.config.Version}
 	if to, ok := t.followTarget(); ok {
 		t.send(to, m)
@@ -87,7 +87,7 @@
 
 func (t *transition) becomeReady(how string) {
 	t.ready = true
-	t.note(LogReady, string(t.settings.ID), fmt.Sprintf("version=%d from %s", t.config.Version, how))
+	t.log(LogReady, string(t.settings.ID), fmt.Sprintf("version=%d from %s", t.config.Version, how))
 }
 
 func (t *transition) selfHost() config.Host {
@@ -104,7 +104,7 @@
 		return "", false
 	}
 	if !t.ready {
-		return replicas[t.follows%len(replicas)].ID, true
+		return replicas[t.followAttempts%len(replicas)].ID, true
 	}
 	var alive []ident.Host
 	for _, r := range replicas {
@@ -113,7 +113,7 @@
 		}
 	}
 	if len(alive) == 0 {
-		return replicas[t.follows%len(replicas)].ID, true
+		return replicas[t.followAttempts%len(replicas)].ID, true
 	}
 	return hash.Best(hash.Of(string(t.settings.ID)), alive, func(h ident.Host) string { return string(h) })
 }
@@ -261,5 +261,5 @@
 		t.layout.owners = owners
 		t.ownersChanged()
 	}
-	t.note(LogConfiguration, string(t.settings.ID), fmt.Sprintf("version=%d", cfg.Version))
+	t.log(LogConfiguration, string(t.settings.ID), fmt.Sprintf("version=%d", cfg.Version))
 }
--- a/core/host/host.go
+++ b/core/host/host.go
@@ -1,35 +1,37 @@
 // Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
 
-// Package host is the whole behaviour of one yardhall process: one reducer
-// over all its events. It does no I/O and reads no clock; what must be done is
-// returned as effects.
+// Package host implements the decision logic of a yardhall process as a single reducer over its
+// events. It does no I/O and reads no clock; actions are returned as effects.
 //
 // # Usage
 //
 //	s := host.New(host.Settings{ID: "entry-1", Zone: "hall-a", Serves: true}, seed, now)
 //	s, effects := host.Reduce(s, host.Tick{}, now)
 //
-// A process carries out the effects in order and feeds what comes of them back
-// as events. The same events at the same times give the same effects.
+// The process carries out the effects in order and reports their results as events. The same events
+// at the same times give the same effects.
 //
-// It composes packages with states of their own (requests, raft, catalog, registry, hubs,
-// relay, inforce, membership, routing): it gathers their inputs and turns what they return
-// into effects. What it decides itself, by file:
+// The package composes others that have state of their own (requests, raft, catalog, registry,
+// hubs, relay, inforce, membership, routing): it collects their inputs and turns their results into
+// effects.
 //
-//	polling.go, pollreply.go     seeded fleets: whom to poll, what a reply changes
-//	clients.go, updates.go       what clients are sent, and how much at once
-//	hub.go, fallback.go          how hubs serve, and whom to poll without replicas
-//	crashes.go                   how requests under which workers end become known
-//	listedcrashes.go             the same in listed fleets, where all hosts hear each other
-//	seeded.go, times.go          readiness, and the times of a seeded fleet
-//	zones.go                     how drained zones become known, and orders are answered
-//	write.go, read.go            how writes and reads reach the leader
-//	replica.go                   what a committed entry changes
-//	admit.go, call.go, retry.go  listed fleets: callers' requests
-//	backoff.go                   targets that requested a backoff of this host
-//	place.go, owner.go           permits of engine groups, on both sides
-//	claim.go                     the right to run once
-//	orders.go, repair.go         fenced orders, and replacing lost engines
+// Seeded fleets find their replicas through seed addresses and serve a route table; in listed
+// fleets the configuration lists all hosts and targets. The files of this package:
+//
+//	polling.go, pollreply.go     polls of seeded fleets, and how replies are applied
+//	clients.go, updates.go       replies to polling hosts, and updates between polls
+//	hub.go, fallback.go          hubs, and polling other entry hosts when no replica replies
+//	crashes.go                   distribution of the requests that crash workers
+//	listedcrashes.go             the same in listed fleets
+//	seeded.go, times.go          readiness and timeouts of seeded fleets
+//	zones.go                     distribution and acknowledgement of zone drain orders
+//	write.go, read.go            forwarding of writes and reads to the leader
+//	replica.go                   application of committed log entries
+//	admit.go, call.go, retry.go  callers' requests in listed fleets
+//	backoff.go                   backoffs requested by targets in listed fleets
+//	place.go, owner.go           engine group permits: requesting and granting
+//	claim.go                     claims for requests that must run at most once
+//	orders.go, repair.go         fenced orders, and replacement of lost engines
 //	peers.go, follow.go          heartbeats between hosts, and following a replica
 package host
 
@@ -47,14 +49,14 @@
 	"github.com/yardhall/yardhall/core/table"
 )
 
-// State is a whole process. It is immutable; Reduce returns the next one. The
-// zero State belongs to a process without settings that serves nothing.
+// State is the state of a process. It is immutable; Reduce returns the next one. The zero State
+// belongs to a process without settings that serves nothing.
 type State struct {
-	settings Settings
-	seed     uint64
-	draws    uint64
-	started  time.Time
-	// suspended is for how long the machine was suspended since.
+	settings    Settings
+	seed        uint64
+	jitterDraws uint64
+	started     time.Time
+	// suspended is the total time the machine was suspended since started.
 	suspended time.Duration
 	draining  bool
 
@@ -62,52 +64,52 @@
 	raft    raft.State
 	catalog catalog.Catalog
 	applied raft.Index
-	// appliedBytes counts the bytes of entries applied since the last snapshot.
+	// appliedBytes is the size of the entries applied since the last snapshot.
 	appliedBytes int
 	// leaderSince is when this replica last became leader.
 	leaderSince time.Time
 	orders      table.Table[uint64, Order]
 
-	// Configuration in force here.
-	config   config.Config
-	ready    bool
-	leader   ident.Host
-	followAt time.Time
-	follows  int
-	// followers are the hosts that follow this replica.
+	// Configuration that this host applies.
+	config         config.Config
+	ready          bool
+	leader         ident.Host
+	nextFollowAt   time.Time
+	followAttempts int
+	// followers are the hosts that follow this replica's configuration.
 	followers table.Table[ident.Host, follower]
 
-	// Other hosts.
-	peers       table.Table[ident.Host, peer]
-	heartbeatAt time.Time
-	// loads are the live owners' reports by service; never changed in place.
-	loads      map[ident.Service][]routing.GroupLoad
-	heartbeats uint64
+	// Other hosts. groupLoads holds the latest reports of live owners by service; the map is
+	// replaced, never modified.
+	peers           table.Table[ident.Host, peer]
+	nextHeartbeatAt time.Time
+	groupLoads      map[ident.Service][]routing.GroupLoad
+	heartbeats      uint64
 
 	// Targets.
-	health  table.Table[ident.Target, health.Target]
-	probeAt time.Time
-	layout  layout
-	groups  table.Table[string, routing.Group]
-	// backups are the chats of groups that this host would own next.
-	backups table.Table[string, routing.Directory]
+	health      table.Table[ident.Target, health.Target]
+	nextProbeAt time.Time
+	layout      layout
+	groups      table.Table[string, routing.Group]
+	// chatBackups are the chats of groups that this host is next in line to own.
+	chatBackups table.Table[string, routing.Directory]
 
-	// Callers' requests.
-	calls    table.Table[ident.Request, call]
-	inFlight table.Table[ident.Target, int]
-	accounts table.Table[ident.Account, accountUse]
-	budget   float64
+	// Callers' requests of listed fleets.
+	calls       table.Table[ident.Request, call]
+	inFlight    table.Table[ident.Target, int]
+	accounts    table.Table[ident.Account, accountUsage]
+	retryBudget float64
 
 	writes   table.Table[string, pendingWrite]
 	writeSeq uint64
-	// origins are the hosts that wait for forwarded writes.
-	origins table.Table[string, ident.Host]
-	orderAt time.Time
-	// repairAt is when the leader next looks for what to repair.
-	repairAt time.Time
+	// writeOrigins are the hosts that wait for the results of writes they forwarded.
+	writeOrigins table.Table[string, ident.Host]
+	nextOrderAt  time.Time
+	// nextRepairAt is when the leader next checks for lost engines.
+	nextRepairAt time.Time
 
-	// Seeded fleets: what this host knows of the replicas, and what a replica
-	// knows of those that sync with it.
+	// Seeded fleets: contacts with replicas and polling hosts, registered workers, requests of the
+	// route table, and reported crashes.
 	seeded   seededState
 	registry registry.Registry
 	requests requests.State
@@ -116,15 +118,15 @@
 	counters Counters
 }
 
-// New returns the process as it starts at now.
+// New returns the state of a process that starts at now.
 func New(s Settings, seed uint64, now time.Time) State {
 	return State{
-		settings: s, seed: seed, started: now, budget: maxBudget,
+		settings: s, seed: seed, started: now, retryBudget: maxRetryBudget,
 		requests: requests.New(s.Requests).WithStart(now),
 	}
 }
 
-// WithReplicaState returns the process with the replicated state read from disk.
+// WithReplicaState returns the state with the replicated state read from disk.
 func (s State) WithReplicaState(b raft.Boot, now time.Time) (State, error) {
 	if len(b.Snapshot.Data) > 0 {
 		c, err := catalog.Decode(b.Snapshot.Data)
@@ -143,7 +145,7 @@
 	return s, nil
 }
 
-// Reduce is the transition of a process.
+// Reduce applies an event and returns the next state and the effects to carry out.
 func Reduce(s State, ev Event, now time.Time) (State, []Effect) {
 	t := transition{State: s, now: now}
 	switch ev := ev.(type) {
@@ -154,21 +156,21 @@
 	case MessageReceived:
 		t.receive(ev.From, ev.Message)
 	case RequestArrived:
-		t.arrive(ev.Request)
+		t.handleRequestArrived(ev.Request)
 	case AttemptEnded:
-		t.attemptEnded(ev)
+		t.handleAttemptEnded(ev)
 	case LoadReported:
-		t.reported(ev)
+		t.handleLoadReported(ev)
 	case TargetsListed:
-		t.listed(ev.Targets)
+		t.handleTargetsListed(ev.Targets)
 	case WriteSubmitted:
 		t.submit(ev.Write, ev.Deadline)
 	case OrderEnded:
-		t.orderEnded(ev)
+		t.handleOrderEnded(ev)
 	case EntriesPersisted:
 		t.stepRaft(ev.Persisted)
 	case Drain:
-		t.drain()
+		t.startDrain()
 	case ReplicaChange:
 		t.stepRaft(raft.ChangeMember{Member: ev.Member, Remove: ev.Remove})
 	case RequestEvent:
@@ -185,23 +187,23 @@
 	case SeedsChanged:
 		t.settings.Seeds = ev.Seeds
 	}
-	return t.State, t.out
+	return t.State, t.effects
 }
 
-// transition is the working copy of one transition.
+// transition is the mutable working copy of the state while Reduce runs.
 type transition struct {
 	State
-	now time.Time
-	out []Effect
+	now     time.Time
+	effects []Effect
 }
 
-func (t *transition) emit(e Effect) { t.out = append(t.out, e) }
+func (t *transition) emit(e Effect) { t.effects = append(t.effects, e) }
 
-func (t *transition) note(kind LogKind, object, detail string) {
+func (t *transition) log(kind LogKind, object, detail string) {
 	t.emit(LogRecord{Kind: kind, Object: object, Detail: detail})
 }
 
-// send transmits m, or delivers it at once where it is for this process.
+// send transmits m; a message to this host itself is handled immediately.
 func (t *transition) send(to ident.Host, m Message) {
 	to = to.Address()
 	if to == t.settings.ID {
@@ -235,21 +237,21 @@
 	case PeerHeartbeat:
 		t.peerHeartbeat(from, m.Beat)
 	case RequestPermit:
-		t.permitRequested(from, m)
+		t.handleRequestPermit(from, m)
 	case PermitReply:
-		t.permitReplied(from, m)
+		t.handlePermitReply(from, m)
 	case NotOwner:
-		t.notOwner(m)
+		t.handleNotOwner(m)
 	case ReleasePermit:
-		t.permitReleased(m)
+		t.handleReleasePermit(m)
 	case AdoptPermits:
-		t.permitsAdopted(m)
+		t.handleAdoptPermits(m)
 	case AdoptChats:
-		t.adoptChats(m)
+		t.handleAdoptChats(m)
 	case FetchAnswer:
 		t.emit(LookUpAnswer{Request: m.Request, For: m.For, To: from})
 	case AnswerOf:
-		t.answerOf(m)
+		t.handleAnswerOf(m)
 	case Follow:
 		t.followReceived(from, m)
 	case Changes:
@@ -261,7 +263,7 @@
 	case WriteAnswered:
 		t.writeAnswered(m.ID, m.Result)
 	case Poll:
-		t.pollReceived(from, m)
+		t.handlePoll(from, m)
 	case PollReply:
 		t.pollReplied(from, m)
 	case AwaitInForce:
@@ -275,15 +277,15 @@
 	}
 }
 
-// receiveRaft takes a message of the replicated log, unless it is meant for a
-// replica whose disk this host no longer has.
+// receiveRaft handles a message of the replicated log. It ignores messages to another replica
+// identity, such as one whose disk this host has lost.
 func (t *transition) receiveRaft(from ident.Host, m Raft) {
 	if m.To == "" {
 		t.stepRaft(raft.Receive{From: from, Message: m.Message})
 		return
 	}
 	if m.To == t.settings.replicaID() {
-		t.noteReplicaProgram(m)
+		t.recordReplicaVersion(m)
 		t.stepRaft(raft.Receive{From: m.From, Message: m.Message})
 	}
 }
--- a/core/host/hub.go
+++ b/core/host/hub.go
@@ -58,7 +58,7 @@
 // isPrimaryOfAny tells whether some host has this one for its primary hub.
 func (t *transition) isPrimaryOfAny() bool {
 	for _, c := range t.seeded.clients.All() {
-		if c.primary && c.live(t.now) {
+		if c.primary && c.isLive(t.now) {
 			return true
 		}
 	}
@@ -122,7 +122,7 @@
 		t.registry = t.registry.WithReport(w, t.now)
 	}
 	t.rememberTable(t.config)
-	t.note(LogHub, string(t.settings.ID), "answers other hosts")
+	t.log(LogHub, string(t.settings.ID), "answers other hosts")
 }
 
 // hubReply adds to a reply what a hub knows in place of a leader.
@@ -166,7 +166,7 @@
 func (t *transition) groupReport() (hosts []hubs.Host, due bool) {
 	var names []string
 	for _, c := range t.seeded.clients.All() {
-		if c.primary && c.serves && c.live(t.now) {
+		if c.primary && c.serves && c.isLive(t.now) {
 			hosts = append(hosts, c.host)
 			names = append(names, string(c.host.Host), c.host.Relay)
 		}
--- a/core/host/hublist.go
+++ b/core/host/hublist.go
@@ -19,7 +19,7 @@
 func (t *transition) liveEntryHosts() []hubs.Host {
 	found := map[ident.Host]hubs.Host{}
 	for _, c := range t.seeded.clients.All() {
-		if !c.live(t.now) {
+		if !c.isLive(t.now) {
 			continue
 		}
 		for _, h := range c.group {
--- a/core/host/inforce.go
+++ b/core/host/inforce.go
@@ -31,7 +31,7 @@
 // reply confirms the version held here.
 func (t *transition) grantLease(from ident.Host, m Poll) {
 	t.seeded.inForce = t.seeded.inForce.WithGrant(inforce.Grant{
-		From: from, Boot: m.Boot, InForce: m.InForce, Sent: t.heldConfig().Version,
+		From: from, Boot: m.Boot, InForce: m.InForce, Sent: t.currentConfig().Version,
 	}, t.now)
 }
 
@@ -69,8 +69,8 @@
 		return
 	}
 	t.seeded.inForce = t.released(t.seeded.inForce, t.inForceSettings(), LogTableInForce)
-	if t.allReplicasKnowZones() {
-		t.seeded.zonesInForce = t.released(t.seeded.zonesInForce, t.zonesSettings(), LogZoneOrderInForce)
+	if t.allReplicasSupportZones() {
+		t.seeded.zonesInForce = t.released(t.seeded.zonesInForce, t.zonesInForceSettings(), LogZoneOrderInForce)
 	}
 }
 
@@ -81,7 +81,7 @@
 	}
 	next, released := s.Release(set, t.inForceView(), t.now)
 	for _, a := range released {
-		t.note(kind, a.ID, fmt.Sprintf("version=%d after=%s waited_for=%s", a.Version, a.After, a.WaitedFor))
+		t.log(kind, a.ID, fmt.Sprintf("version=%d after=%s waited_for=%s", a.Version, a.After, a.WaitedFor))
 		if a.To == t.settings.ID {
 			t.writeAnswered(a.ID, a.Result)
 			continue
@@ -108,7 +108,7 @@
 // awaitInForce waits for what answers a write, which is committed, to be in force: its
 // table, or the drained zones.
 func (t *transition) awaitInForce(p pendingWrite) {
-	ofZones := changesZone(p.write)
+	ofZones := isZoneOrder(p.write)
 	if p.inForce == 0 {
 		p.inForce = t.committedVersion(p.write)
 	}
@@ -129,7 +129,7 @@
 
 // committedVersion is the version by which package inforce counts what a write leads to.
 func (t *transition) committedVersion(w catalog.Write) config.Version {
-	if changesZone(w) {
+	if isZoneOrder(w) {
 		return zonesVersion(t.catalog.Zones.Revision)
 	}
 	return t.catalog.Config.Version
@@ -141,7 +141,7 @@
 }
 
 // takesForce tells whether a write is answered only once what it leads to is in force.
-func (t *transition) takesForce(w catalog.Write) bool { return t.changesTable(w) || changesZone(w) }
+func (t *transition) takesForce(w catalog.Write) bool { return t.changesTable(w) || isZoneOrder(w) }
 
 // changesTable tells whether a write changes the route table of a seeded fleet.
 func (t *transition) changesTable(w catalog.Write) bool {
--- a/core/host/layout.go
+++ b/core/host/layout.go
@@ -44,7 +44,7 @@
 	parts := map[routing.GroupID][]config.Target{}
 	for _, t := range cfg.Targets.All() {
 		id := routing.GroupID{Service: t.Service, Zone: t.Zone}
-		id.Shard = shardOf(t.ID, (counts[id]+groupSize-1)/groupSize)
+		id.Shard = shardOf(t.ID, (counts[id]+targetsPerGroup-1)/targetsPerGroup)
 		parts[id] = append(parts[id], t)
 		l.groupOf[t.ID] = id
 	}
@@ -108,17 +108,17 @@
 func (t *transition) ownerMoved(p groupPart, owner ident.Host) {
 	if owner == t.settings.ID {
 		g := routing.NewGroup(p.id, t.now).WithChatBound(t.settings.MaxChatsPerGroup)
-		if backup, ok := t.backups.Get(p.id.String()); ok {
+		if backup, ok := t.chatBackups.Get(p.id.String()); ok {
 			g = g.WithDirectory(backup)
-			t.backups = t.backups.Without(p.id.String())
+			t.chatBackups = t.chatBackups.Without(p.id.String())
 		}
 		t.groups = t.groups.With(p.id.String(), g)
-		t.note(LogGroupOwner, p.id.String(), "taken")
+		t.log(LogGroupOwner, p.id.String(), "taken")
 	} else if g, ok := t.groups.Get(p.id.String()); ok {
-		t.handOverGroup(g, owner)
+		t.handOverChats(g, owner)
 		t.groups = t.groups.Without(p.id.String())
-		t.note(LogGroupOwner, p.id.String(), "given to "+string(owner))
+		t.log(LogGroupOwner, p.id.String(), "given to "+string(owner))
 	}
 	t.reportPermits(p.id, owner)
-	t.requestPermitsAnew(p.id)
+	t.repeatPermitRequests(p.id)
 }
--- a/core/host/listedcrashes.go
+++ b/core/host/listedcrashes.go
@@ -12,31 +12,33 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// In a listed fleet a request under which targets end is refused as in one with a route table
-// (package crashes): when it arrives, before a retry, and once a place is found for it. A
-// target's process is known to have ended where a connection to it is refused or its load
-// report names another start, and to live where one names the same. Hosts report crashes and
-// their lists in heartbeats, at once, and each host judges for itself.
+// In a listed fleet, requests that crash targets are refused as in a seeded one (crashes.go): on
+// arrival, before a retry, and before dispatch. A target's process is known to have exited if it
+// refuses a connection or its load report carries a new incarnation, and to be alive if the report
+// carries the same one. Hosts report crashes and their crash lists in heartbeats, immediately, and
+// each host evaluates them on its own.
 
-// contentOf identifies a call among those that are the same. Its digest is no cryptographic
-// one: an account can bring about the refusal of nobody's requests but its own.
-func contentOf(c call) crashes.Content {
-	if c.req.Digest == 0 {
+// callContent returns the key that identical calls of an account share; empty if the request has no
+// digest. The digest need not be cryptographic: an account that forges collisions causes the
+// refusal of its own requests only.
+func callContent(c call) crashes.Content {
+	if c.request.Digest == 0 {
 		return ""
 	}
-	digest := binary.LittleEndian.AppendUint64(nil, c.req.Digest)
-	return crashes.ContentOf(string(c.account.ID), digest, []byte(c.service.ID), []byte(c.req.Model))
+	digest := binary.LittleEndian.AppendUint64(nil, c.request.Digest)
+	return crashes.ContentOf(string(c.account.ID), digest, []byte(c.service.ID), []byte(c.request.Model))
 }
 
-// isRefused tells whether the call is sent to no target any more.
-func (t *transition) isRefused(c call) bool {
+// isRefusedForCrashes reports whether the call must not be sent because identical requests crash
+// targets.
+func (t *transition) isRefusedForCrashes(c call) bool {
 	_, refused := t.requests.CrashList().Refused(c.content, t.now)
 	return refused
 }
 
-// crashVerdict ends such a call.
+// crashVerdict returns the verdict of a call that is refused for crashes.
 func (t *transition) crashVerdict(c call) Verdict {
-	v := Verdict{Outcome: c.combined, Code: CodeCrashesTargets, Reason: requests.CrashReason(c.content)}
+	v := Verdict{Outcome: c.combinedOutcome, Code: CodeCrashesTargets, Reason: requests.CrashReason(c.content)}
 	if v.Outcome == outcome.NotRun {
 		until, _ := t.requests.CrashList().Refused(c.content, t.now)
 		v.RetryAfter = until.Sub(t.now)
@@ -44,62 +46,63 @@
 	return v
 }
 
-// targetBroke suspects an attempt that broke off, and asks its target for a load report,
-// which tells whether the target ended.
-func (t *transition) targetBroke(c call, r outcome.Broken) {
+// suspectCrash records an interrupted attempt as a suspected crash, and probes its target, whose
+// load report shows whether the process exited.
+func (t *transition) suspectCrash(c call, r outcome.Broken) {
 	h, _ := t.health.Get(c.target)
 	target, known := t.config.Targets.Get(c.target)
 	if c.content == "" || r.Silent || !known || h.IsLeaving(t.now) {
 		return
 	}
-	asked := t.crashes.observer.Asked(c.target, c.boot, t.now)
-	t.crashes.observer = t.crashes.observer.WithSuspect(crashes.Suspect{Content: c.content, Life: c.boot, Crash: crashes.Crash{
-		Attempt: fmt.Sprintf("%s/%d", c.req.ID, c.attempt), Worker: c.target, SentAt: c.sentAt, EndedAt: t.now, Begun: r.Begun,
+	probed := t.crashes.observer.Asked(c.target, c.targetBoot, t.now)
+	t.crashes.observer = t.crashes.observer.WithSuspect(crashes.Suspect{Content: c.content, Life: c.targetBoot, Crash: crashes.Crash{
+		Attempt: fmt.Sprintf("%s/%d", c.request.ID, c.attempt), Worker: c.target, SentAt: c.sentAt, EndedAt: t.now, Begun: r.Begun,
 	}}, t.now)
-	if !asked {
+	if !probed {
 		t.emit(Probe{Target: target})
 	}
 }
 
-// targetReported takes a target's load report, or that none came, as a sign of its process.
-// One that first names its start may be the process known before.
-func (t *transition) targetReported(ev LoadReported) {
+// checkTargetRestart derives from a load report, or from its absence, whether the target's process
+// has exited. A first report of an incarnation proves nothing, as the process may be the one known
+// before.
+func (t *transition) checkTargetRestart(ev LoadReported) {
 	h, _ := t.health.Get(ev.Target)
 	switch {
 	case ev.Refused:
-		t.targetEnded(ev.Target, h.Boot)
+		t.recordTargetExit(ev.Target, h.Boot)
 	case ev.Failed || h.Boot == 0:
 	case ev.Boot > h.Boot:
-		t.targetEnded(ev.Target, h.Boot)
+		t.recordTargetExit(ev.Target, h.Boot)
 	default:
 		t.crashes.observer = t.crashes.observer.WithLife(ev.Target, h.Boot, t.now)
 	}
 }
 
-// targetEnded takes the proof that a target's process ended.
-func (t *transition) targetEnded(id ident.Target, boot uint64) {
+// recordTargetExit records the proof that a target's process has exited.
+func (t *transition) recordTargetExit(id ident.Target, boot uint64) {
 	t.crashes.observer, _ = t.crashes.observer.WithEnd(id, boot, t.now)
 }
 
-// crashHeartbeatDue tells whether a heartbeat is sent early, as a target has ended.
+// crashHeartbeatDue reports whether a heartbeat should be sent early to report crashes.
 func (t *transition) crashHeartbeatDue() bool {
-	last := t.heartbeatAt.Add(-heartbeatInterval)
-	return t.crashesSeen() != t.crashes.reported && t.now.Sub(last) >= crashPollGap
+	last := t.nextHeartbeatAt.Add(-heartbeatInterval)
+	return t.crashCount() != t.crashes.reportedCount && t.now.Sub(last) >= minCrashPollInterval
 }
 
-// withCrashes adds to a heartbeat what this host has seen, which counts here too, and its
-// list where another host holds another one.
-func (t *transition) withCrashes(b Heartbeat) Heartbeat {
-	t.forgetCrashes()
-	b.Crashes = t.crashReport()
-	t.crashesReceived(t.settings.ID, b.Crashes)
+// addCrashes adds this host's crash reports to a heartbeat, after evaluating them here too, and its
+// crash list if another host holds a different one.
+func (t *transition) addCrashes(b Heartbeat) Heartbeat {
+	t.expireCrashes()
+	b.Crashes = t.crashReports()
+	t.handleCrashReports(t.settings.ID, b.Crashes)
 	b.CrashList = t.requests.CrashList().Key
 	for _, p := range t.peers.All() {
 		if p.alive && p.heartbeat.CrashList != b.CrashList {
 			b.CrashEntries = t.crashEntries(t.requests.CrashList())
 		}
 	}
-	t.noteAnswers()
+	t.queueKnownAnswers()
 	b.CrashEntries = append(b.CrashEntries, t.answerEntries()...)
 	return b
 }
--- a/core/host/loadsums.go
+++ b/core/host/loadsums.go
@@ -50,7 +50,7 @@
 	}
 	next := loadSums{at: t.now, parts: map[ident.Host]loads.Digest{}}
 	for id, c := range t.seeded.clients.All() {
-		if !c.live(t.now) {
+		if !c.isLive(t.now) {
 			t.seeded.clients = t.seeded.clients.Without(id)
 			continue
 		}
--- a/core/host/membership.go
+++ b/core/host/membership.go
@@ -19,7 +19,7 @@
 	next, change, ok := t.seeded.membership.Next(t.raft, t.settings.replicaID(), t.settings.Voters, t.now)
 	t.seeded.membership = next
 	if ok {
-		t.note(LogReplicaMembership, string(change.Member.ID), fmt.Sprintf("remove=%t voter=%t", change.Remove, change.Member.Voter))
+		t.log(LogReplicaMembership, string(change.Member.ID), fmt.Sprintf("remove=%t voter=%t", change.Remove, change.Member.Voter))
 		t.stepRaft(change)
 	}
 }
--- a/core/host/orders.go
+++ b/core/host/orders.go
@@ -15,25 +15,24 @@
 )
 
 const (
-	// maxOrders bounds the orders under way, so that the weight store's rate
-	// is shared by few loads at a time. Chosen, not measured.
-	maxOrders = 4
-	// orderSendTime is how long after the decision an order may still leave.
-	// Chosen, not measured.
-	orderSendTime = 2 * time.Second
-	// orderTime bounds an order to an engine. Chosen, not measured.
-	orderTime = 5 * time.Minute
-	// orderPoll is the time between two looks at the plans. Chosen, not measured.
-	orderPoll = 250 * time.Millisecond
+	// maxConcurrentOrders bounds the orders in progress, so that few loads at a time share the
+	// weight store's bandwidth.
+	maxConcurrentOrders = 4
+	// orderSendTimeout is how long after its decision an order may be sent.
+	orderSendTimeout = 2 * time.Second
+	// orderEndTimeout bounds the write that records the end of an order.
+	orderEndTimeout = 5 * time.Minute
+	// planInterval is the time between two checks of the running plans.
+	planInterval = 250 * time.Millisecond
 )
 
-// tickOrders makes the leader drive the running plans: each step first gets
-// its fencing token through the log and only then goes to the engine.
+// tickOrders makes the leader execute the running plans. Each step gets its fencing token through
+// the log before its order is sent to the engine.
 func (t *transition) tickOrders() {
-	if !t.raft.LeaseHeld(t.now) || t.now.Before(t.orderAt) {
+	if !t.raft.LeaseHeld(t.now) || t.now.Before(t.nextOrderAt) {
 		return
 	}
-	t.orderAt = t.now.Add(orderPoll)
+	t.nextOrderAt = t.now.Add(planInterval)
 	plans := t.catalog.Plans.Values()
 	slices.SortStableFunc(plans, repairsFirst)
 	for _, p := range plans {
@@ -41,14 +40,14 @@
 			continue
 		}
 		t.resendOrders(p)
-		i, ok := p.Next(t.now, t.orders.Len(), maxOrders)
-		if ok && !t.mustWait(p.Steps[i].Target) && !t.storeBusy(p.Steps[i]) {
+		i, ok := p.Next(t.now, t.orders.Len(), maxConcurrentOrders)
+		if ok && !t.mustAwaitEarlierOrders(p.Steps[i].Target) && !t.weightStoreBusy(p.Steps[i]) {
 			t.issueOrder(p.ID, i)
 		}
 	}
 }
 
-// repairsFirst orders plans so that repairs get the weight store first.
+// repairsFirst sorts repair plans first, so that they get the weight store's bandwidth.
 func repairsFirst(a, b plan.Plan) int {
 	switch {
 	case a.Repair == b.Repair:
@@ -59,28 +58,28 @@
 	return 1
 }
 
-// storeBusy tells whether the weight store still sends what was ordered.
-func (t *transition) storeBusy(s plan.Step) bool {
+// weightStoreBusy reports whether the weight store is still sending the weights of earlier loads.
+func (t *transition) weightStoreBusy(s plan.Step) bool {
 	return s.Action == plan.Load && t.now.Before(t.catalog.LoadFree())
 }
 
-// resendOrders takes up steps that an earlier leader ordered.
+// resendOrders issues new orders for the steps that an earlier leader ordered.
 func (t *transition) resendOrders(p plan.Plan) {
 	for i, s := range p.Steps {
-		if s.Status == plan.StepOrdered && !t.orders.Has(s.Token) && !t.mustWait(s.Target) {
+		if s.Status == plan.StepOrdered && !t.orders.Has(s.Token) && !t.mustAwaitEarlierOrders(s.Target) {
 			t.issueOrder(p.ID, i)
 		}
 	}
 }
 
-// mustWait tells whether a target that checks no tokens may still receive an
-// order from an earlier leader.
-func (t *transition) mustWait(id ident.Target) bool {
+// mustAwaitEarlierOrders reports whether a target that does not check fencing tokens may still
+// receive an order from an earlier leader.
+func (t *transition) mustAwaitEarlierOrders(id ident.Target) bool {
 	target, ok := t.config.Targets.Get(id)
 	if !ok || target.ChecksFence {
 		return false
 	}
-	return t.now.Sub(t.leaderSince) < orderSendTime+2*raft.DefaultElection
+	return t.now.Sub(t.leaderSince) < orderSendTimeout+2*raft.DefaultElection
 }
 
 func (t *transition) issueOrder(id ident.Plan, step int) {
@@ -93,8 +92,9 @@
 	}, t.now.Add(claimTimeout))
 }
 
-// autoDone goes on after a write of this process itself.
-func (t *transition) autoDone(id string, r catalog.Result, known bool) {
+// handleOwnWriteResult continues after a write that this process submitted itself: it sends the
+// order whose token was committed.
+func (t *transition) handleOwnWriteResult(id string, r catalog.Result, known bool) {
 	if !known || r.Code != catalog.OK || r.Token == 0 || !strings.HasPrefix(id, "auto/order/") {
 		return
 	}
@@ -117,20 +117,20 @@
 	}
 	o := Order{
 		Plan: p.ID, Step: i, Token: s.Token, Action: string(s.Action), Model: s.Model,
-		Target: target, Bytes: s.Bytes, NotAfter: t.now.Add(orderSendTime),
+		Target: target, Bytes: s.Bytes, NotAfter: t.now.Add(orderSendTimeout),
 	}
 	t.orders = t.orders.With(o.Token, o)
 	t.counters.OrdersSent++
 	t.emit(SendOrder{Order: o, ReadFirst: !target.ChecksFence || s.Attempts > 1})
 }
 
-// orderEnded records an order's end in the log, until it is answered.
-func (t *transition) orderEnded(ev OrderEnded) {
+// handleOrderEnded records the result of an order in the log.
+func (t *transition) handleOrderEnded(ev OrderEnded) {
 	t.orders = t.orders.Without(ev.Order.Token)
 	t.submit(catalog.Write{
 		ID: fmt.Sprintf("auto/end/%d", ev.Order.Token), Actor: string(t.settings.ID),
 		Command: catalog.EndOrder{
 			Plan: ev.Order.Plan, Step: ev.Order.Step, Token: ev.Order.Token, OK: ev.OK, Error: ev.Error,
 		},
-	}, t.now.Add(orderTime))
+	}, t.now.Add(orderEndTimeout))
 }
--- a/core/host/owner.go
+++ b/core/host/owner.go
@@ -11,47 +11,45 @@
 )
 
 const (
-	// groupSize is the number of targets a group aims at. Chosen, not measured.
-	groupSize = 24
-	// probeInterval is the time between two load reports asked of a target.
-	// Chosen, not measured.
+	// targetsPerGroup is the intended number of targets of a group.
+	targetsPerGroup = 24
+	// probeInterval is the time between load reports requested from a target.
 	probeInterval = 2 * time.Second
-	// maxEjected is the share of a group that failures may take away. Chosen, not measured.
-	maxEjected = 0.5
-	// settleTime is how long a new owner waits before it reports a load.
-	// Chosen, not measured.
-	settleTime = 2 * time.Second
+	// maxEjectedShare is the share of a group's targets that may be ejected for failures.
+	maxEjectedShare = 0.5
+	// ownerSettleTime is how long a new owner waits before it reports the group's load.
+	ownerSettleTime = 2 * time.Second
 )
 
-// refreshGroups brings the owned groups' engines to configuration and health.
+// refreshGroups updates the engines of owned groups from configuration and health.
 func (t *transition) refreshGroups() {
 	for _, p := range t.sortedParts() {
 		g, ok := t.groups.Get(p.id.String())
 		if !ok {
 			continue
 		}
-		g = g.WithEngines(t.specs(p.id, p.targets), t.now)
+		g = g.WithEngines(t.engineSpecs(p.id, p.targets), t.now)
 		t.groups = t.groups.With(p.id.String(), g)
-		t.serve(g)
+		t.grantWaiting(g)
 	}
 }
 
 func (t *transition) tickGroups() {
 	for id, g := range t.groups.All() {
-		next, late := g.Expire(t.now)
-		next, moved, to := next.Reroute(t.boundIfWaiting(next))
+		next, expired := g.Expire(t.now)
+		next, redirected, destination := next.Reroute(t.loadBoundIfWaiting(next))
 		t.groups = t.groups.With(id, next)
-		for _, req := range moved {
-			t.replyToRequest(req, routing.Elsewhere{Group: to})
+		for _, req := range redirected {
+			t.sendPermitReply(req, routing.Elsewhere{Group: destination})
 		}
-		for _, req := range late {
-			t.replyToRequest(req, routing.Refused{Reason: routing.ReasonTimeout, RetryAfter: retryAfter})
+		for _, req := range expired {
+			t.sendPermitReply(req, routing.Refused{Reason: routing.ReasonTimeout, RetryAfter: defaultRetryAfter})
 		}
 	}
-	if t.now.Before(t.probeAt) {
+	if t.now.Before(t.nextProbeAt) {
 		return
 	}
-	t.probeAt = t.now.Add(probeInterval)
+	t.nextProbeAt = t.now.Add(probeInterval)
 	t.refreshGroups()
 	for _, p := range t.sortedParts() {
 		if !t.groups.Has(p.id.String()) {
@@ -63,32 +61,34 @@
 	}
 }
 
-// bound is the rule of a service with what other owners report.
-func (t *transition) bound(id routing.GroupID) routing.Bound {
+// loadBound returns the load bound of a group: its service's multiple, and the loads of the
+// service's other groups.
+func (t *transition) loadBound(id routing.GroupID) routing.Bound {
 	s, _ := t.config.Services.Get(id.Service)
 	b := routing.Bound{Multiple: s.Multiple}
-	for _, l := range t.loads[id.Service] {
+	for _, l := range t.groupLoads[id.Service] {
 		if l.Group != id {
 			b.Others = append(b.Others, l)
 		}
 	}
 	for _, g := range t.groups.All() {
 		if g.ID.Service == id.Service && g.ID != id {
-			b.Others = append(b.Others, loadOf(g))
+			b.Others = append(b.Others, groupLoad(g))
 		}
 	}
 	return b
 }
 
-// boundIfWaiting saves the work where nobody waits for the bound's answer.
-func (t *transition) boundIfWaiting(g routing.Group) routing.Bound {
+// loadBoundIfWaiting returns the load bound, or the zero value, which is cheaper, if no request
+// waits for it.
+func (t *transition) loadBoundIfWaiting(g routing.Group) routing.Bound {
 	if g.Waiting() == 0 {
 		return routing.Bound{}
 	}
-	return t.bound(g.ID)
+	return t.loadBound(g.ID)
 }
 
-// gatherLoads keeps what live owners last reported, by service.
+// gatherLoads collects the latest load reports of live owners by service.
 func (t *transition) gatherLoads() {
 	loads := map[ident.Service][]routing.GroupLoad{}
 	for _, p := range t.peers.All() {
@@ -99,45 +99,45 @@
 			loads[l.Group.Service] = append(loads[l.Group.Service], l)
 		}
 	}
-	t.loads = loads
+	t.groupLoads = loads
 }
 
-func loadOf(g routing.Group) routing.GroupLoad {
+func groupLoad(g routing.Group) routing.GroupLoad {
 	return routing.GroupLoad{Group: g.ID, Load: g.Total(), Usable: g.Usable(), Waiting: g.Waiting()}
 }
 
-func (t *transition) ownLoads() []routing.GroupLoad {
+func (t *transition) ownGroupLoads() []routing.GroupLoad {
 	var out []routing.GroupLoad
 	for _, g := range t.groups.All() {
 		// A new owner does not know its load until routers have reported their permits; a low
-		// number would draw everyone here.
-		if t.now.Sub(g.Taken) >= settleTime {
-			out = append(out, loadOf(g))
+		// report would attract requests from all groups.
+		if t.now.Sub(g.Taken) >= ownerSettleTime {
+			out = append(out, groupLoad(g))
 		}
 	}
 	return out
 }
 
-func (t *transition) permitRequested(from ident.Host, m RequestPermit) {
+func (t *transition) handleRequestPermit(from ident.Host, m RequestPermit) {
 	g, ok := t.groups.Get(m.Group.String())
 	if !ok {
 		t.send(from, NotOwner{Place: m.Place})
 		return
 	}
-	req := t.permitRequestOf(from, m)
-	g, answer := g.Request(req, t.bound(m.Group), t.now)
+	req := t.newPermitRequest(from, m)
+	g, answer := g.Request(req, t.loadBound(m.Group), t.now)
 	g, shed := g.TakeShed()
 	t.groups = t.groups.With(m.Group.String(), g)
 	for _, a := range shed {
-		t.replyToRequest(a, routing.Refused{Reason: routing.ReasonShed, RetryAfter: retryAfter})
+		t.sendPermitReply(a, routing.Refused{Reason: routing.ReasonShed, RetryAfter: defaultRetryAfter})
 	}
-	t.countAnswer(answer)
-	t.replyToRequest(req, answer)
+	t.countPermitAnswer(answer)
+	t.sendPermitReply(req, answer)
 }
 
-// permitRequestOf completes a request from the configuration, which the wire need not
-// carry.
-func (t *transition) permitRequestOf(from ident.Host, m RequestPermit) routing.PermitRequest {
+// newPermitRequest completes a permit request with the fields that come from the configuration
+// instead of the message.
+func (t *transition) newPermitRequest(from ident.Host, m RequestPermit) routing.PermitRequest {
 	account, _ := t.config.Accounts.Get(m.Account)
 	class, ok := t.config.Classes.Get(m.Class)
 	if !ok {
@@ -159,7 +159,7 @@
 	return p.heartbeat.Incarnation
 }
 
-func (t *transition) countAnswer(a routing.Answer) {
+func (t *transition) countPermitAnswer(a routing.Answer) {
 	switch a := a.(type) {
 	case routing.Granted:
 		t.counters.Grants++
@@ -175,40 +175,40 @@
 	}
 }
 
-func (t *transition) replyToRequest(req routing.PermitRequest, a routing.Answer) {
+func (t *transition) sendPermitReply(req routing.PermitRequest, a routing.Answer) {
 	t.send(req.Router, PermitReply{Place: req.Permit, Answer: a})
 }
 
-func (t *transition) permitReleased(m ReleasePermit) {
+func (t *transition) handleReleasePermit(m ReleasePermit) {
 	for key, g := range t.groups.All() {
 		if !g.Holds(m.Place) {
 			continue
 		}
-		next, grants := g.Release(m.Place, t.boundIfWaiting(g), t.now)
+		next, grants := g.Release(m.Place, t.loadBoundIfWaiting(g), t.now)
 		t.groups = t.groups.With(key, next)
 		t.sendGrants(grants)
 		return
 	}
 }
 
-// serve gives places that became free to waiting requests.
-func (t *transition) serve(g routing.Group) {
+// grantWaiting grants free capacity to queued requests.
+func (t *transition) grantWaiting(g routing.Group) {
 	if g.Waiting() == 0 {
 		return
 	}
-	g, grants := g.Serve(t.bound(g.ID), t.now)
+	g, grants := g.Serve(t.loadBound(g.ID), t.now)
 	t.groups = t.groups.With(g.ID.String(), g)
 	t.sendGrants(grants)
 }
 
 func (t *transition) sendGrants(grants []routing.Grant) {
 	for _, grant := range grants {
-		t.countAnswer(grant.Answer())
-		t.replyToRequest(grant.Ask, grant.Answer())
+		t.countPermitAnswer(grant.Answer())
+		t.sendPermitReply(grant.Ask, grant.Answer())
 	}
 }
 
-func (t *transition) permitsAdopted(m AdoptPermits) {
+func (t *transition) handleAdoptPermits(m AdoptPermits) {
 	g, ok := t.groups.Get(m.Group.String())
 	if !ok {
 		return
@@ -217,46 +217,44 @@
 	t.groups = t.groups.With(m.Group.String(), g.Adopt(m.Permits, t.now))
 }
 
-func (t *transition) dropRouter(id ident.Host, keep uint64) {
+func (t *transition) dropRouterPermits(id ident.Host, keepIncarnation uint64) {
 	for key, g := range t.groups.All() {
-		g = g.DropRouter(id, keep, t.now)
+		g = g.DropRouter(id, keepIncarnation, t.now)
 		t.groups = t.groups.With(key, g)
-		t.serve(g)
+		t.grantWaiting(g)
 	}
 }
 
-// handOverGroup passes what is remembered of chats to the next owner, in
-// messages of bounded size; requests that wait are asked anew by their routers.
-func (t *transition) handOverGroup(g routing.Group, owner ident.Host) {
+// handOverChats sends the chats of a group to its next owner in messages of bounded size. Queued
+// requests are not handed over: their routers send them again.
+func (t *transition) handOverChats(g routing.Group, owner ident.Host) {
 	if owner == "" {
 		return
 	}
-	for chats := range slices.Chunk(g.ChatList(), handOverChunk) {
+	for chats := range slices.Chunk(g.ChatList(), chatsPerMessage) {
 		t.send(owner, AdoptChats{Group: g.ID, Chats: chats})
 	}
 }
 
-// handOverChunk bounds the chats in one AdoptChats. Chosen, not measured.
-const handOverChunk = 2048
+// chatsPerMessage bounds the chats in an AdoptChats message.
+const chatsPerMessage = 2048
 
-// adoptChats takes over what an owner remembers: as its successor, or as its
-// backup until then.
-func (t *transition) adoptChats(m AdoptChats) {
+// handleAdoptChats stores the chats of a group, as its new owner or as its backup.
+func (t *transition) handleAdoptChats(m AdoptChats) {
 	key := m.Group.String()
 	if g, ok := t.groups.Get(key); ok {
 		t.groups = t.groups.With(key, g.AdoptChats(m.Chats))
 		return
 	}
-	d, _ := t.backups.Get(key)
+	d, _ := t.chatBackups.Get(key)
 	d.Bound = t.settings.MaxChatsPerGroup
 	for _, c := range m.Chats {
 		d = d.With(c.Key, c.Place)
 	}
-	t.backups = t.backups.With(key, d)
+	t.chatBackups = t.chatBackups.With(key, d)
 }
 
-// backUpChats tells each group's next owner in line which chats were placed
-// since the last beat.
+// backUpChats sends the chats placed since the last heartbeat to each group's next owner in line.
 func (t *transition) backUpChats() {
 	for key, g := range t.groups.All() {
 		next, moved := g.TakeMoved()
@@ -265,7 +263,7 @@
 		if !ok {
 			continue
 		}
-		for chats := range slices.Chunk(moved, handOverChunk) {
+		for chats := range slices.Chunk(moved, chatsPerMessage) {
 			t.send(to, AdoptChats{Group: g.ID, Chats: chats})
 		}
 	}
--- a/core/host/peers.go
+++ b/core/host/peers.go
@@ -34,10 +34,10 @@
 			t.peerDown(id, p)
 		}
 	}
-	if t.now.Before(t.heartbeatAt) && !t.crashHeartbeatDue() {
+	if t.now.Before(t.nextHeartbeatAt) && !t.crashHeartbeatDue() {
 		return
 	}
-	t.heartbeatAt = t.now.Add(heartbeatInterval)
+	t.nextHeartbeatAt = t.now.Add(heartbeatInterval)
 	t.sendHeartbeats()
 	t.backUpChats()
 }
@@ -46,8 +46,8 @@
 	p.alive = false
 	t.peers = t.peers.With(id, p)
 	t.gatherLoads()
-	t.note(LogHostDown, string(id), "")
-	t.dropRouter(id, 0)
+	t.log(LogHostDown, string(id), "")
+	t.dropRouterPermits(id, 0)
 	t.ownersChanged()
 }
 
@@ -64,9 +64,9 @@
 	b := Heartbeat{
 		Host: t.settings.ID, Incarnation: t.settings.Incarnation, Counter: t.heartbeats,
 		Version: t.config.Version, Draining: t.draining, Serves: t.settings.Serves,
-		Zone: t.settings.Zone, Loads: t.ownLoads(), Leaving: t.leavingSigns(), Lost: t.lostTargets(),
+		Zone: t.settings.Zone, Loads: t.ownGroupLoads(), Leaving: t.leavingSigns(), Lost: t.lostTargets(),
 	}
-	b = t.withCrashes(b)
+	b = t.addCrashes(b)
 	for _, h := range t.knownHosts() {
 		if h.ID != t.settings.ID {
 			t.send(h.ID, PeerHeartbeat{Beat: b})
@@ -94,13 +94,13 @@
 	}
 	t.peers = t.peers.With(from, peer{heartbeat: b, lastHeartbeat: t.now, alive: true})
 	t.gatherLoads()
-	t.takeCrashEntries(from, b.CrashEntries)
-	t.crashesReceived(from, b.Crashes)
+	t.handleCrashEntries(from, b.CrashEntries)
+	t.handleCrashReports(from, b.Crashes)
 	if !known || !old.alive {
-		t.note(LogHostUp, string(from), "")
+		t.log(LogHostUp, string(from), "")
 	}
 	if known && b.Incarnation != old.heartbeat.Incarnation {
-		t.dropRouter(from, b.Incarnation)
+		t.dropRouterPermits(from, b.Incarnation)
 	}
 	for _, id := range b.Leaving {
 		t.markLeaving(id)
--- a/core/host/place.go
+++ b/core/host/place.go
@@ -12,67 +12,68 @@
 	"github.com/yardhall/yardhall/core/routing"
 )
 
-// requestPermit finds a place for the call.
+// requestPermit sends a plain service's call to a target, and requests a permit for an engine call
+// from the owner of its chat's group.
 func (t *transition) requestPermit(c call) {
 	if c.service.Kind == config.KindPlain {
-		t.pickPlain(c)
+		t.pickPlainTarget(c)
 		return
 	}
-	id, ok := t.groupFor(c)
+	id, ok := t.pickGroup(c)
 	if !ok {
-		t.finish(c, t.noTarget(c))
+		t.finishCall(c, t.noTargetVerdict(c))
 		return
 	}
-	t.requestPermitOf(c, id, false)
+	t.requestGroupPermit(c, id, false)
 }
 
-func (t *transition) noTarget(c call) Verdict {
+func (t *transition) noTargetVerdict(c call) Verdict {
 	return Verdict{
-		Outcome: c.combined, Code: CodeNoTarget, RetryAfter: cmp.Or(t.leastBackoff(c), retryAfter),
-		Reason: "no target can take the request now",
+		Outcome: c.combinedOutcome, Code: CodeNoTarget, RetryAfter: cmp.Or(t.shortestBackoff(c), defaultRetryAfter),
+		Reason: "no target is available for the request",
 	}
 }
 
-// groupFor picks the chat's group by rendezvous, weighted by the engines that
-// hold the model; groups that nobody can own are passed over.
-func (t *transition) groupFor(c call) (routing.GroupID, bool) {
-	best, second := routing.GroupID{}, routing.GroupID{}
-	var top, next float64
-	key := c.req.Chat
+// pickGroup picks the chat's group by rendezvous hashing, weighted by the number of engines that
+// hold the model. Groups without an owner or a usable engine are skipped.
+func (t *transition) pickGroup(c call) (routing.GroupID, bool) {
+	best, fallback := routing.GroupID{}, routing.GroupID{}
+	var bestScore, fallbackScore float64
+	key := c.request.Chat
 	if key == 0 {
-		key = hash.Of(string(c.req.ID))
+		key = hash.Of(string(c.request.ID))
 	}
 	for _, p := range t.layout.services[c.service.ID] {
-		n := p.holders[c.req.Model]
-		if n == 0 || t.layout.owners[p.id] == "" || t.emptyGroup(p.id) {
+		holders := p.holders[c.request.Model]
+		if holders == 0 || t.layout.owners[p.id] == "" || t.hasNoUsableEngine(p.id) {
 			continue
 		}
-		score := hash.Weighted(key, p.key, float64(n))
-		if slices.Contains(c.avoid, p.id) {
-			if score > next {
-				second, next = p.id, score
+		score := hash.Weighted(key, p.key, float64(holders))
+		if slices.Contains(c.avoidGroups, p.id) {
+			if score > fallbackScore {
+				fallback, fallbackScore = p.id, score
 			}
 			continue
 		}
-		if score > top {
-			best, top = p.id, score
+		if score > bestScore {
+			best, bestScore = p.id, score
 		}
 	}
-	if top == 0 {
-		// Better a group that failed once than none.
-		return second, next > 0
+	if bestScore == 0 {
+		// All other groups were unreachable: retry one that failed.
+		return fallback, fallbackScore > 0
 	}
 	return best, true
 }
 
-// emptyGroup tells whether the owner last reported that no engine is usable.
-func (t *transition) emptyGroup(id routing.GroupID) bool {
+// hasNoUsableEngine reports whether the group's owner last reported no usable engine.
+func (t *transition) hasNoUsableEngine(id routing.GroupID) bool {
 	owner := t.layout.owners[id]
 	if owner == t.settings.ID {
 		g, ok := t.groups.Get(id.String())
 		return ok && g.Usable() == 0
 	}
-	for _, l := range t.loads[id.Service] {
+	for _, l := range t.groupLoads[id.Service] {
 		if l.Group == id {
 			return l.Usable == 0
 		}
@@ -80,67 +81,67 @@
 	return false
 }
 
-func (t *transition) requestPermitOf(c call, id routing.GroupID, final bool) {
-	c.phase = phaseAsking
+func (t *transition) requestGroupPermit(c call, id routing.GroupID, final bool) {
+	c.phase = phaseRequestingPermit
 	c.group = id
 	c.owner = t.layout.owners[id]
 	c.target = ""
 	c.permitRequests++
-	c.permit = ident.PermitIDOf(c.req.ID, c.permitRequests)
-	c.final = final || c.hops >= maxHops
-	c.wake = earlier(c.req.Deadline, t.now.Add(permitTimeout))
-	t.keepCall(c)
+	c.permit = ident.PermitIDOf(c.request.ID, c.permitRequests)
+	c.final = final || c.redirects >= maxRedirects
+	c.timerAt = earlierTime(c.request.Deadline, t.now.Add(permitTimeout))
+	t.storeCall(c)
 	t.sendPermitRequest(c)
 }
 
-// sendPermitRequest sends the call's newest request, perhaps again: its owner repeats the
-// answer to one that it has already.
+// sendPermitRequest sends or resends the call's current permit request. The owner repeats its
+// answer to a request that it already has.
 func (t *transition) sendPermitRequest(c call) {
 	t.send(c.owner, RequestPermit{
-		Group: c.group, Place: c.permit, Account: c.account.ID, Class: c.class.ID, Model: c.req.Model,
-		Chat: c.req.Chat, Work: c.req.Work, Within: c.req.Deadline.Sub(t.now),
-		Exclude: t.excluded(c), Final: c.final,
+		Group: c.group, Place: c.permit, Account: c.account.ID, Class: c.class.ID, Model: c.request.Model,
+		Chat: c.request.Chat, Work: c.request.Work, Within: c.request.Deadline.Sub(t.now),
+		Exclude: t.excludedTargets(c), Final: c.final,
 	})
 }
 
-// permitReplied goes on with a call whose group has answered. An answer that
-// nobody waits for any more frees its place.
-func (t *transition) permitReplied(from ident.Host, m PermitReply) {
+// handlePermitReply continues a call after its owner's answer. A permit that is no longer wanted is
+// released.
+func (t *transition) handlePermitReply(from ident.Host, m PermitReply) {
 	c, ok := t.calls.Get(m.Place.Request())
-	waiting := ok && c.permit == m.Place && (c.phase == phaseAsking || c.phase == phaseQueued)
+	waiting := ok && c.permit == m.Place && (c.phase == phaseRequestingPermit || c.phase == phaseQueued)
 	switch a := m.Answer.(type) {
 	case routing.Granted:
 		if !waiting {
-			t.releaseUnwanted(from, m, c, ok)
+			t.releaseUnusedPermit(from, m, c, ok)
 			return
 		}
-		if !t.canUse(a.Target) {
+		if !t.canSendTo(a.Target) {
 			t.send(from, ReleasePermit{Place: m.Place})
 			t.requestPermit(c)
 			return
 		}
-		t.dispatch(c, a.Target)
+		t.dispatchCall(c, a.Target)
 	case routing.Queued:
 		if waiting {
-			c.phase, c.wake = phaseQueued, earlier(c.req.Deadline, t.now.Add(queuedPoll))
-			t.keepCall(c)
+			c.phase, c.timerAt = phaseQueued, earlierTime(c.request.Deadline, t.now.Add(queuedPollInterval))
+			t.storeCall(c)
 		}
 	case routing.Elsewhere:
 		if waiting {
-			c.hops++
-			t.requestPermitOf(c, a.Group, true)
+			c.redirects++
+			t.requestGroupPermit(c, a.Group, true)
 		}
 	case routing.Refused:
 		if waiting {
 			c.owner = ""
-			t.finish(c, refusedVerdict(c, a))
+			t.finishCall(c, refusedVerdict(c, a))
 		}
 	}
 }
 
-// releaseUnwanted gives back a place that came too late, unless the call already
-// runs on it (a doubled answer).
-func (t *transition) releaseUnwanted(from ident.Host, m PermitReply, c call, ok bool) {
+// releaseUnusedPermit releases a permit that arrived too late, unless the call already runs under
+// it, which means that the answer was a duplicate.
+func (t *transition) releaseUnusedPermit(from ident.Host, m PermitReply, c call, ok bool) {
 	if ok && c.phase == phaseRunning && c.permit == m.Place && c.owner != "" {
 		return
 	}
@@ -148,50 +149,48 @@
 }
 
 func refusedVerdict(c call, a routing.Refused) Verdict {
-	v := Verdict{Outcome: c.combined, Code: CodeOverloaded, RetryAfter: a.RetryAfter}
+	v := Verdict{Outcome: c.combinedOutcome, Code: CodeOverloaded, RetryAfter: a.RetryAfter}
 	switch a.Reason {
 	case routing.ReasonNoTarget:
-		v.Code, v.Reason = CodeNoTarget, "no target can take the request now"
+		v.Code, v.Reason = CodeNoTarget, "no target is available for the request"
 	case routing.ReasonTimeout:
-		v.Reason = "no engine became free in time"
+		v.Reason = "no engine became available in time"
 	case routing.ReasonShed, routing.ReasonQueueFull, routing.ReasonOverBound:
-		v.Reason = "too many requests wait for the engines"
+		v.Reason = "too many requests are queued for the engines"
 	}
 	return v
 }
 
-func (t *transition) notOwner(m NotOwner) {
+func (t *transition) handleNotOwner(m NotOwner) {
 	c, ok := t.calls.Get(m.Place.Request())
-	if ok && (c.phase == phaseAsking || c.phase == phaseQueued) && c.permit == m.Place {
-		t.pickLocally(c)
+	if ok && (c.phase == phaseRequestingPermit || c.phase == phaseQueued) && c.permit == m.Place {
+		t.pickWithoutPermit(c)
 	}
 }
 
-// pickLocally chooses by this host's own view, as the owner does not answer:
-// the least loaded by own requests, no engine beyond this host's part of its
-// slots. Ties go by rendezvous: hosts that pick at once pick different engines,
-// and a chat the same one again.
-func (t *transition) pickLocally(c call) {
+// pickWithoutPermit picks an engine by this host's own view if the owner does not answer: the one
+// with the fewest requests from this host. Ties are broken by rendezvous hashing, so that hosts
+// that pick at the same time pick different engines, and a chat gets the same one again.
+func (t *transition) pickWithoutPermit(c call) {
 	t.counters.Fallbacks++
 	c.owner = ""
 	var best config.Target
-	lowest, top := -1, uint64(0)
+	lowestInFlight, bestScore := -1, uint64(0)
 	for _, target := range t.localCandidates(c) {
-		n, _ := t.inFlight.Get(target.ID)
-		score := hash.Mix(c.req.Chat, hash.Of(string(target.ID)))
-		if lowest < 0 || n < lowest || (n == lowest && score > top) {
-			best, lowest, top = target, n, score
+		inFlight, _ := t.inFlight.Get(target.ID)
+		score := hash.Mix(c.request.Chat, hash.Of(string(target.ID)))
+		if lowestInFlight < 0 || inFlight < lowestInFlight || (inFlight == lowestInFlight && score > bestScore) {
+			best, lowestInFlight, bestScore = target, inFlight, score
 		}
 	}
-	if lowest < 0 {
-		t.finish(c, t.noTarget(c))
+	if lowestInFlight < 0 {
+		t.finishCall(c, t.noTargetVerdict(c))
 		return
 	}
-	t.dispatch(c, best.ID)
+	t.dispatchCall(c, best.ID)
 }
 
-// localCandidates are the targets of the call's group that this host may use
-// without a permit of the owner.
+// localCandidates returns the targets of the call's group that this host may use without a permit.
 func (t *transition) localCandidates(c call) []config.Target {
 	var out []config.Target
 	for _, p := range t.layout.services[c.service.ID] {
@@ -200,8 +199,8 @@
 		}
 		for _, target := range p.targets {
 			n, _ := t.inFlight.Get(target.ID)
-			tried := slices.Contains(c.tried, target.ID)
-			if t.canUse(target.ID) && target.HasModel(c.req.Model) && !tried && n < t.localShare(target) {
+			tried := slices.Contains(c.triedTargets, target.ID)
+			if t.canSendTo(target.ID) && target.HasModel(c.request.Model) && !tried && n < t.localShare(target) {
 				out = append(out, target)
 			}
 		}
@@ -209,20 +208,20 @@
 	return out
 }
 
-// localShare is what one host may send to a target without a permit of its owner.
+// localShare returns the number of requests that a host may have at a target without permits: its
+// share of the target's slots, at least one.
 func (t *transition) localShare(target config.Target) int {
 	return max(1, target.Slots/t.aliveServing())
 }
 
-// pickPlain chooses a worker of a plain service: the one with the fewest of
-// this host's requests, workers of the own zone first.
-func (t *transition) pickPlain(c call) {
+// pickPlainTarget sends the call to the worker of a plain service with the lowest plainCost.
+func (t *transition) pickPlainTarget(c call) {
 	var best config.Target
 	found := false
 	var bestCost int
 	for _, p := range t.layout.services[c.service.ID] {
 		for _, target := range p.targets {
-			if !t.canUse(target.ID) || slices.Contains(c.tried, target.ID) {
+			if !t.canSendTo(target.ID) || slices.Contains(c.triedTargets, target.ID) {
 				continue
 			}
 			if cost := t.plainCost(target); !found || cost < bestCost {
@@ -231,27 +230,27 @@
 		}
 	}
 	if !found {
-		t.finish(c, t.noTarget(c))
+		t.finishCall(c, t.noTargetVerdict(c))
 		return
 	}
-	t.dispatch(c, best.ID)
+	t.dispatchCall(c, best.ID)
 }
 
-// plainCost orders workers by the share of their slots in use from here; a
-// worker of another zone counts as farPenalty fuller.
+// plainCost returns the percentage of a worker's slots that this host's requests use, plus
+// remoteZonePenalty for a worker of another zone.
 func (t *transition) plainCost(target config.Target) int {
 	n, _ := t.inFlight.Get(target.ID)
 	cost := n * percent / target.Slots
 	if target.Zone != t.settings.Zone {
-		cost += remotePenalty
+		cost += remoteZonePenalty
 	}
 	return cost
 }
 
-// remotePenalty is in percent of a worker's slots. Chosen, not measured.
-const remotePenalty = 25
+// remoteZonePenalty is a percentage of a worker's slots.
+const remoteZonePenalty = 25
 
-// reportPermits reports to a group's new owner which permits this host's calls hold.
+// reportPermits reports the permits that this host's calls hold to the group's new owner.
 func (t *transition) reportPermits(id routing.GroupID, owner ident.Host) {
 	if owner == "" {
 		return
@@ -262,10 +261,10 @@
 			continue
 		}
 		c.owner = owner
-		t.keepCall(c)
+		t.storeCall(c)
 		permits = append(permits, routing.Permit{
-			Place: c.permit, Target: c.target, Account: c.account.ID, Key: c.req.Chat, Work: c.req.Work,
-			Router: t.settings.ID, Incarnation: t.settings.Incarnation, Until: c.req.Deadline.Add(retryAfter),
+			Place: c.permit, Target: c.target, Account: c.account.ID, Key: c.request.Chat, Work: c.request.Work,
+			Router: t.settings.ID, Incarnation: t.settings.Incarnation, Until: c.request.Deadline.Add(defaultRetryAfter),
 		})
 	}
 	if len(permits) > 0 {
@@ -273,10 +272,11 @@
 	}
 }
 
-// requestPermitsAnew sends the requests that wait at a group's old owner to the new one.
-func (t *transition) requestPermitsAnew(id routing.GroupID) {
+// repeatPermitRequests sends the permit requests that were pending at a group's previous owner
+// again.
+func (t *transition) repeatPermitRequests(id routing.GroupID) {
 	for _, c := range t.calls.All() {
-		if c.group == id && (c.phase == phaseAsking || c.phase == phaseQueued) {
+		if c.group == id && (c.phase == phaseRequestingPermit || c.phase == phaseQueued) {
 			c.owner = ""
 			t.requestPermit(c)
 		}
--- a/core/host/polling.go
+++ b/core/host/polling.go
@@ -62,12 +62,12 @@
 
 // tickPolls polls where that is due.
 func (t *transition) tickPolls() {
-	if !t.settings.Serves || t.now.Before(t.seeded.pollAt) && !t.inForceReportDue() && !t.zonesReportDue() && !t.crashReportDue() {
+	if !t.settings.Serves || t.now.Before(t.seeded.pollAt) && !t.inForceReportDue() && !t.zonesReportDue() && !t.crashPollDue() {
 		return
 	}
 	t.seeded.pollAt = t.now.Add(t.pollInterval())
 	t.renewHubs()
-	t.forgetCrashes()
+	t.expireCrashes()
 	hosts := t.hostsToPoll()
 	t.pickLeaderContact(hosts)
 	t.noteLostReplicas(hosts)
@@ -78,8 +78,8 @@
 		group, grouped = t.groupReport()
 	}
 	inForce, zonesInForce := t.inForceReport(), t.zonesReport()
-	t.noteAnswers()
-	replaced, crashed, answered := t.replacedReport(), t.crashReport(), t.answerEntries()
+	t.queueKnownAnswers()
+	replaced, crashed, answered := t.replacedReport(), t.crashReports(), t.answerEntries()
 	for _, h := range hosts {
 		m := t.poll(h)
 		m.InForce, m.ZonesInForce, m.Replaced, m.Crashes = inForce, zonesInForce, replaced, crashed
@@ -149,7 +149,7 @@
 		if ok && !c.lost && t.now.Sub(c.lastReply) > replicaTimeout {
 			c.lost = true
 			t.seeded.contacts = t.seeded.contacts.With(h, c)
-			t.note(LogReplicaContact, string(h), "lost")
+			t.log(LogReplicaContact, string(h), "lost")
 		}
 	}
 }
--- a/core/host/pollreply.go
+++ b/core/host/pollreply.go
@@ -22,11 +22,11 @@
 	}
 	t.noteReply(from, m)
 	t.keepRegistrations(t.takeRegistrations(from, m))
-	t.takeCrashEntries(from, m.CrashEntries)
+	t.handleCrashEntries(from, m.CrashEntries)
 	t.takeHubList(m)
 	t.takeFallbackPeers(m)
 	t.takeTable(m)
-	t.takeZones(from, m.Zones)
+	t.adoptZones(from, m.Zones)
 	sent, known := t.takeRound(m.Round)
 	if m.Summed && known {
 		t.seeded.loadsAt = t.now.Add(time.Duration(len(m.Loads)) * loadByteTime)
@@ -71,11 +71,11 @@
 func (t *transition) takeRegistrations(from ident.Host, m PollReply) []registry.Worker {
 	workers, err := registry.Unpack(m.Workers)
 	if err != nil {
-		t.note(LogReplicaContact, string(from), "sent registrations that cannot be read: "+err.Error())
+		t.log(LogReplicaContact, string(from), "sent registrations that cannot be read: "+err.Error())
 	}
 	workers, err = registry.Checked(workers)
 	if err != nil {
-		t.note(LogReplicaContact, string(from), "sent a registration that cannot be used: "+err.Error())
+		t.log(LogReplicaContact, string(from), "sent a registration that cannot be used: "+err.Error())
 	}
 	if len(workers) == 0 {
 		return nil
@@ -149,7 +149,7 @@
 func (t *transition) noteReply(from ident.Host, m PollReply) {
 	c, known := t.seeded.contacts.Get(from)
 	if !known || c.lost {
-		t.note(LogReplicaContact, string(from), "found")
+		t.log(LogReplicaContact, string(from), "found")
 	}
 	c.lastReply, c.lost, c.crashList = t.now, false, m.CrashList
 	if !m.Cut {
--- a/core/host/registrations.go
+++ b/core/host/registrations.go
@@ -26,7 +26,7 @@
 	next, changed := t.registry.WithHeartbeat(w, t.now)
 	t.registry = next
 	if changed {
-		t.note(LogWorkerRegistration, string(w.ID), fmt.Sprintf("pool=%s state=%s seq=%d at=%s cold=%s born=%s before=%s",
+		t.log(LogWorkerRegistration, string(w.ID), fmt.Sprintf("pool=%s state=%s seq=%d at=%s cold=%s born=%s before=%s",
 			w.Pool, w.State, w.Seq, w.Address, w.Cold, w.Born, before.Born))
 	}
 }
@@ -36,7 +36,7 @@
 	next, changed := t.registry.WithGone(id, born, t.now)
 	t.registry = next
 	if changed {
-		t.note(LogWorkerRegistration, string(id), fmt.Sprintf("state=gone born=%s", born))
+		t.log(LogWorkerRegistration, string(id), fmt.Sprintf("state=gone born=%s", born))
 	}
 }
 
@@ -54,7 +54,7 @@
 		return err.Error()
 	}
 	if !t.isPoolNamed(w) {
-		return fmt.Sprintf("no service %.80q in route table %d", w.Pool, t.heldConfig().Version)
+		return fmt.Sprintf("no service %.80q in route table %d", w.Pool, t.currentConfig().Version)
 	}
 	return ""
 }
@@ -62,7 +62,7 @@
 // isPoolNamed tells whether the route table names a worker's pool, or no table is held
 // yet, or the worker is known with that pool.
 func (t *transition) isPoolNamed(w registry.Worker) bool {
-	table := t.heldConfig().Gateway
+	table := t.currentConfig().Gateway
 	if table.Number == 0 {
 		return true
 	}
@@ -83,7 +83,7 @@
 // heartbeatInvalid counts and logs a heartbeat that names no worker to use.
 func (t *transition) heartbeatInvalid(id ident.Target, reason string) {
 	t.counters.HeartbeatsInvalid++
-	t.note(LogWorkerRegistration, fmt.Sprintf("%.80q", id), "heartbeat not taken: "+reason)
+	t.log(LogWorkerRegistration, fmt.Sprintf("%.80q", id), "heartbeat not taken: "+reason)
 }
 
 // tickRegistry looks over all registrations and clients now and then, on a replica: which
@@ -99,7 +99,7 @@
 	}
 	t.registry, _ = t.registry.Expire(silence, t.now)
 	t.forgetLeases()
-	t.forgetCrashes()
+	t.expireCrashes()
 	hosts := t.liveEntryHosts()
 	t.nameHubs(hosts)
 	t.nameFallbackPeers(hosts)
--- a/core/host/repair.go
+++ b/core/host/repair.go
@@ -14,19 +14,16 @@
 )
 
 const (
-	// repairInterval is the time between two looks for what to repair.
-	// Chosen, not measured.
+	// repairInterval is the time between two checks for lost engines.
 	repairInterval = 5 * time.Second
-	// repairPause is the shortest time between two repairs of one intent.
-	// Chosen, not measured.
-	repairPause = 2 * time.Minute
-	// maxLost is the share of a zone's engines beyond which the zone is taken
-	// to be cut off: nothing is repaired there, so that no storm of loads
-	// follows. Chosen, not measured.
-	maxLost = 1.0 / 3
+	// minRepairInterval is the minimum time between two repairs of an intent.
+	minRepairInterval = 2 * time.Minute
+	// maxLostShare is the share of a zone's lost engines above which the zone counts as
+	// unreachable. Nothing is repaired there, as that would load many engines at once.
+	maxLostShare = 1.0 / 3
 )
 
-// lostTargets are targets of this host's groups that are gone for good.
+// lostTargets returns the lost targets of groups that this host owns.
 func (t *transition) lostTargets() []ident.Target {
 	var out []ident.Target
 	for id, h := range t.health.All() {
@@ -37,8 +34,8 @@
 	return out
 }
 
-// fleetLost joins what all live owners report as lost.
-func (t *transition) fleetLost() []ident.Target {
+// fleetLostTargets returns the targets that this host or other live hosts report as lost.
+func (t *transition) fleetLostTargets() []ident.Target {
 	lost := t.lostTargets()
 	for _, p := range t.peers.All() {
 		if p.alive {
@@ -49,25 +46,25 @@
 	return slices.Compact(lost)
 }
 
-// tickRepair makes the leader replace lost engines by the rules of the
-// confirmed intents, one plan at a time.
+// tickRepair makes the leader replace lost engines according to the confirmed intents, one plan at
+// a time.
 func (t *transition) tickRepair() {
-	if t.now.Before(t.repairAt) || !t.raft.LeaseHeld(t.now) {
+	if t.now.Before(t.nextRepairAt) || !t.raft.LeaseHeld(t.now) {
 		return
 	}
-	t.repairAt = t.now.Add(repairInterval)
-	lost := t.fleetLost()
-	if len(lost) == 0 || t.planUnderWay() {
+	t.nextRepairAt = t.now.Add(repairInterval)
+	lost := t.fleetLostTargets()
+	if len(lost) == 0 || t.planActive() {
 		return
 	}
 	for _, in := range t.config.Intents.All() {
-		if t.repair(in, lost) {
+		if t.repairIntent(in, lost) {
 			return
 		}
 	}
 }
 
-func (t *transition) planUnderWay() bool {
+func (t *transition) planActive() bool {
 	for _, p := range t.catalog.Plans.All() {
 		if p.Status == plan.Running || p.Status == plan.Paused {
 			return true
@@ -76,14 +73,14 @@
 	return false
 }
 
-// repair states the intent again without the lost engines, where that gives
-// anything to load in a zone that is not cut off.
-func (t *transition) repair(in config.Intent, lost []ident.Target) bool {
-	if t.repairedLately(in.ID) {
+// repairIntent submits the intent again without the lost engines, if that loads any engine in a
+// reachable zone. It reports whether it did.
+func (t *transition) repairIntent(in config.Intent, lost []ident.Target) bool {
+	if t.recentlyRepaired(in.ID) {
 		return false
 	}
 	in.Replicas = slices.DeleteFunc(slices.Clone(in.Replicas), func(r config.ZoneReplicas) bool {
-		return t.zoneLost(in.Service, r.Zone, lost)
+		return t.zoneUnreachable(in.Service, r.Zone, lost)
 	})
 	if len(plan.Make("", t.config, in, lost).WithoutUnloads().Steps) == 0 {
 		return false
@@ -97,25 +94,25 @@
 	return true
 }
 
-func (t *transition) repairedLately(id ident.Intent) bool {
+func (t *transition) recentlyRepaired(id ident.Intent) bool {
 	for _, p := range t.catalog.Plans.All() {
-		if p.Repair && p.Intent.ID == id && t.timeOfDay().Sub(p.Created) < repairPause {
+		if p.Repair && p.Intent.ID == id && t.timeOfDay().Sub(p.Created) < minRepairInterval {
 			return true
 		}
 	}
 	return false
 }
 
-func (t *transition) zoneLost(s ident.Service, z ident.Zone, lost []ident.Target) bool {
-	all, gone := 0, 0
+func (t *transition) zoneUnreachable(s ident.Service, z ident.Zone, lost []ident.Target) bool {
+	total, lostCount := 0, 0
 	for _, target := range t.config.Targets.All() {
 		if target.Service != s || target.Zone != z {
 			continue
 		}
-		all++
+		total++
 		if slices.Contains(lost, target.ID) {
-			gone++
+			lostCount++
 		}
 	}
-	return float64(gone) > maxLost*float64(all)
+	return float64(lostCount) > maxLostShare*float64(total)
 }
--- a/core/host/replaced.go
+++ b/core/host/replaced.go
@@ -49,7 +49,7 @@
 		next, changed := t.registry.WithReplaced(r.Worker, r.Born, seenAt)
 		t.registry = next
 		if changed {
-			t.note(LogWorkerRegistration, string(r.Worker), fmt.Sprintf("state=silent born=%s, as another process answers there, by %s", r.Born, from))
+			t.log(LogWorkerRegistration, string(r.Worker), fmt.Sprintf("state=silent born=%s, as another process answers there, by %s", r.Born, from))
 		}
 	}
 }
--- a/core/host/replica.go
+++ b/core/host/replica.go
@@ -62,10 +62,10 @@
 	}
 	t.leader = e.Leader
 	// Writes handed over in an older term may be lost; who waits sends again.
-	t.origins = table.Table[string, ident.Host]{}
+	t.writeOrigins = table.Table[string, ident.Host]{}
 	t.seeded.inForce = t.seeded.inForce.WithoutAnswers()
 	t.seeded.zonesInForce = t.seeded.zonesInForce.WithoutAnswers()
-	t.note(LogReplicaRole, string(t.settings.ID), fmt.Sprintf("%s term=%d leader=%s", e.Role, e.Term, e.Leader))
+	t.log(LogReplicaRole, string(t.settings.ID), fmt.Sprintf("%s term=%d leader=%s", e.Role, e.Term, e.Leader))
 }
 
 func (t *transition) applyEntries(entries []raft.Entry) {
@@ -88,7 +88,7 @@
 		if table > 0 && t.catalog.Config.Gateway.Number != table {
 			t.seeded.inForce = t.seeded.inForce.WithCommit(t.now)
 		}
-		t.zonesCommitted(zonesBefore)
+		t.recordZoneCommit(zonesBefore)
 		t.answerOrigin(w, r)
 	}
 	if t.catalog.Config.Version != before {
@@ -102,12 +102,12 @@
 // answerOrigin answers a write that was applied, or has its answer wait until the table
 // that it brought is in force.
 func (t *transition) answerOrigin(w catalog.Write, r catalog.Result) {
-	from, forwarded := t.origins.Get(w.ID)
-	t.origins = t.origins.Without(w.ID)
+	from, forwarded := t.writeOrigins.Get(w.ID)
+	t.writeOrigins = t.writeOrigins.Without(w.ID)
 	p, own := t.writes.Get(w.ID)
 	switch {
 	case r.Code == catalog.OK && t.takesForce(w) && forwarded:
-		t.holdAnswer(inforce.Answer{ID: w.ID, To: from, Version: t.committedVersion(w), Result: r}, changesZone(w))
+		t.holdAnswer(inforce.Answer{ID: w.ID, To: from, Version: t.committedVersion(w), Result: r}, isZoneOrder(w))
 	case r.Code == catalog.OK && t.takesForce(w) && own:
 		t.awaitInForce(p)
 	case forwarded:
@@ -124,10 +124,10 @@
 	}
 	zonesBefore := t.catalog.Zones.Revision
 	t.catalog, t.applied = c, s.Index
-	t.zonesCommitted(zonesBefore)
+	t.recordZoneCommit(zonesBefore)
 	t.seeded.inForce = t.seeded.inForce.WithCommit(t.now)
 	t.useConfig(c.Config)
-	t.note(LogStateRestored, string(t.settings.ID), fmt.Sprintf("index=%d version=%d", s.Index, c.Config.Version))
+	t.log(LogStateRestored, string(t.settings.ID), fmt.Sprintf("index=%d version=%d", s.Index, c.Config.Version))
 }
 
 const (
--- a/core/host/seeded.go
+++ b/core/host/seeded.go
@@ -104,7 +104,7 @@
 func (t *transition) tickReady() {
 	ready := t.requests.Ready(t.now, t.readyNotice())
 	if ready != t.ready {
-		t.note(LogReady, string(t.settings.ID), fmt.Sprintf("ready=%t version=%d gateway=%d", ready, t.config.Version, t.requests.Number()))
+		t.log(LogReady, string(t.settings.ID), fmt.Sprintf("ready=%t version=%d gateway=%d", ready, t.config.Version, t.requests.Number()))
 	}
 	t.ready = ready
 }
@@ -128,12 +128,12 @@
 	for _, d := range decisions {
 		switch d := d.(type) {
 		case requests.WorkerChanged:
-			t.note(LogWorkerRegistration, string(d.Worker.ID), fmt.Sprintf("usable=%t state=%s seq=%d born=%s at=%s failures=%d why=%q",
+			t.log(LogWorkerRegistration, string(d.Worker.ID), fmt.Sprintf("usable=%t state=%s seq=%d born=%s at=%s failures=%d why=%q",
 				d.Healthy, d.Worker.State, d.Worker.Seq, d.Worker.Born, d.Worker.Address, d.Failures, d.Why))
 		case requests.WorkerEnded:
-			t.note(LogWorkerRegistration, string(d.Worker), fmt.Sprintf("ended under %d requests of this host", d.Requests))
+			t.log(LogWorkerRegistration, string(d.Worker), fmt.Sprintf("ended under %d requests of this host", d.Requests))
 		case requests.ZoneChanged:
-			t.note(LogZoneContact, string(d.Zone), fmt.Sprintf("reached=%t others=%t missed=%s", d.Reachable, d.AllOthers, d.LastFailed))
+			t.log(LogZoneContact, string(d.Zone), fmt.Sprintf("reached=%t others=%t missed=%s", d.Reachable, d.AllOthers, d.LastFailed))
 		default:
 			t.emit(RequestDecision{Decision: d})
 		}
--- a/core/host/seeded_test.go
+++ b/core/host/seeded_test.go
@@ -238,7 +238,7 @@
 
 func (f *seededFleet) deliver(p seededPacket) {
 	if f.older[p.from] || f.older[p.to] {
-		p.message = ofEarlierProgram(p.message)
+		p.message = asEarlierVersion(p.message)
 	}
 	if f.seen != nil {
 		f.seen(p)
--- a/core/host/settings.go
+++ b/core/host/settings.go
@@ -11,48 +11,48 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// Settings are what a process learns from its settings file.
+// Settings configure a process.
 type Settings struct {
 	ID   ident.Host
 	Zone ident.Zone
-	// Address is the peer ip:port that others dial.
+	// Address is the ip:port at which other hosts connect.
 	Address string
-	// Serves is true where it takes callers' requests.
+	// Serves is set if the host accepts callers' requests.
 	Serves bool
-	// Replicas are the hosts that keep the replicated state at first start.
+	// Replicas are the initial hosts of the replicated state.
 	Replicas []config.Host
-	// Neighbours are hosts of the same zone, asked for configuration where no
-	// replica can be reached.
+	// Neighbours are hosts of the same zone that are asked for configuration if no replica is
+	// reachable.
 	Neighbours []config.Host
-	// Raft are the times of the replicated log.
+	// Raft holds the timeouts of the replicated log.
 	Raft raft.Options
-	// Incarnation grows with each start of this process.
+	// Incarnation increases with each start of this process.
 	Incarnation uint64
 	// MaxChatsPerGroup bounds the chats remembered per group; 0 is the default.
 	MaxChatsPerGroup int
-	// Seeds are peer addresses at which replicas can be found, in a fleet whose
-	// replicas are not listed. There a host's ID is its peer address.
+	// Seeds are peer addresses at which replicas of a seeded fleet are found; empty in a listed
+	// fleet. In a seeded fleet a host's ID is its peer address.
 	Seeds []ident.Host
-	// Identity names the data folder of a replica in a seeded fleet.
+	// Identity names the data directory of a replica in a seeded fleet.
 	Identity ident.Host
-	// Voters is how many replicas shall vote in a seeded fleet.
+	// Voters is the intended number of voting replicas in a seeded fleet.
 	Voters int
-	// WorkerTimeout is how long a registered worker may be silent; 0 is the default.
+	// WorkerTimeout is the time without heartbeats after which a registered worker counts as gone;
+	// 0 is the default.
 	WorkerTimeout time.Duration
-	// RelayAddress is the ip:port at which this host takes workers' heartbeats for the
-	// replicas; empty for none.
+	// RelayAddress is the ip:port at which this host accepts workers' heartbeats for the replicas;
+	// empty for none.
 	RelayAddress string
-	// HubsAbove is the number of entry hosts above which a replica names hubs; 0 is
-	// the default.
+	// HubsAbove is the number of entry hosts above which replicas assign hubs; 0 is the default.
 	HubsAbove int
-	// InForceWithin is how long after its acknowledgement a route table is in force
-	// everywhere; 0 is the default.
+	// InForceWithin is the time after its acknowledgement within which all hosts apply a route
+	// table; 0 is the default.
 	InForceWithin time.Duration
-	// Requests are the bounds of the route table's requests.
+	// Requests are the settings of core/requests.
 	Requests requests.Settings
 }
 
-// Seeded tells whether replicas are found through seeds.
+// Seeded reports whether replicas are found through seeds.
 func (s Settings) Seeded() bool { return len(s.Seeds) > 0 }
 
 // replicaID is the name of this replica in the replicated log.
@@ -63,7 +63,7 @@
 	return s.ID
 }
 
-// IsReplica tells whether this process keeps the replicated state.
+// IsReplica reports whether this process keeps the replicated state.
 func (s Settings) IsReplica() bool {
 	if s.Identity != "" {
 		return true
--- a/core/host/tables.go
+++ b/core/host/tables.go
@@ -28,7 +28,7 @@
 // packedTable is what leads from the table of a version to the newest one: a delta, or
 // with base 0 the whole table.
 func (t *transition) packedTable(from config.Version) (record []byte, base config.Version) {
-	newest := t.heldConfig().Gateway
+	newest := t.currentConfig().Gateway
 	old, ok := t.seeded.tables.Get(from)
 	if !ok || old.Number == 0 {
 		from = 0
--- a/core/host/targets.go
+++ b/core/host/targets.go
@@ -12,11 +12,11 @@
 	"github.com/yardhall/yardhall/core/routing"
 )
 
-// specs says of each target whether it may get work. Where failures have taken
-// more than maxEjected of a service's last usable group, those are used all the
-// same: most likely the fault is on our side. Targets of a zone without hosts
-// of its own are used only while they answer: the zone may be cut off.
-func (t *transition) specs(id routing.GroupID, targets []config.Target) []routing.Spec {
+// engineSpecs returns the engines of a group and whether each may get requests. If more than
+// maxEjectedShare of the group's engines are ejected and no other group of the service has a usable
+// engine, the ejected ones are used anyway: the fault is probably on this host's side. Engines of a
+// zone without serving hosts are used only while they answer, as the zone may be unreachable.
+func (t *transition) engineSpecs(id routing.GroupID, targets []config.Target) []routing.Spec {
 	specs := make([]routing.Spec, 0, len(targets))
 	ejected := 0
 	for _, target := range targets {
@@ -29,7 +29,7 @@
 			Usable: h.Usable(t.now) && (id.Zone == t.settings.Zone || h.Answers(t.now)),
 		})
 	}
-	if float64(ejected) <= maxEjected*float64(len(targets)) || t.usableElsewhere(id) {
+	if float64(ejected) <= maxEjectedShare*float64(len(targets)) || t.otherGroupUsable(id) {
 		return specs
 	}
 	for i, target := range targets {
@@ -40,13 +40,13 @@
 	return specs
 }
 
-// usableElsewhere tells whether another group of the service has an engine.
-func (t *transition) usableElsewhere(id routing.GroupID) bool {
-	return slices.ContainsFunc(t.bound(id).Others, func(l routing.GroupLoad) bool { return l.Usable > 0 })
+// otherGroupUsable reports whether another group of the service has a usable engine.
+func (t *transition) otherGroupUsable(id routing.GroupID) bool {
+	return slices.ContainsFunc(t.loadBound(id).Others, func(l routing.GroupLoad) bool { return l.Usable > 0 })
 }
 
-func (t *transition) reported(ev LoadReported) {
-	t.targetReported(ev)
+func (t *transition) handleLoadReported(ev LoadReported) {
+	t.checkTargetRestart(ev)
 	h, _ := t.health.Get(ev.Target)
 	wasUsable := h.Usable(t.now)
 	if ev.Failed {
@@ -67,13 +67,13 @@
 	}
 }
 
-func (t *transition) listed(targets []ListedTarget) {
-	seen := map[ident.Target]health.Listing{}
+func (t *transition) handleTargetsListed(targets []ListedTarget) {
+	listings := map[ident.Target]health.Listing{}
 	for _, l := range targets {
-		seen[l.ID] = l.Listing
+		listings[l.ID] = l.Listing
 	}
 	for id := range t.config.Targets.All() {
-		listing, ok := seen[id]
+		listing, ok := listings[id]
 		if !ok {
 			listing = health.Absent
 		}
@@ -89,8 +89,8 @@
 	t.setHealth(id, h.WithReportedLeaving(t.now), h.Usable(t.now))
 }
 
-// setHealth stores h; a change of the verdict is noted and takes effect in the
-// target's group at once.
+// setHealth stores h. If the target's usability changes, it logs that and updates the target's
+// group immediately.
 func (t *transition) setHealth(id ident.Target, h health.Target, wasUsable bool) {
 	t.health = t.health.With(id, h)
 	usable := h.Usable(t.now)
@@ -100,7 +100,7 @@
 	if h.Ejected(t.now) {
 		t.counters.Ejections++
 	}
-	t.note(LogTargetHealth, string(id), fmt.Sprintf("usable=%t leaving=%t failures=%d", usable, h.IsLeaving(t.now), h.Failures))
+	t.log(LogTargetHealth, string(id), fmt.Sprintf("usable=%t leaving=%t failures=%d", usable, h.IsLeaving(t.now), h.Failures))
 	gid, ok := t.layout.groupOf[id]
 	if !ok || !t.groups.Has(gid.String()) {
 		return
@@ -108,9 +108,9 @@
 	for _, p := range t.layout.services[gid.Service] {
 		if p.id == gid {
 			g, _ := t.groups.Get(gid.String())
-			g = g.WithEngines(t.specs(p.id, p.targets), t.now)
+			g = g.WithEngines(t.engineSpecs(p.id, p.targets), t.now)
 			t.groups = t.groups.With(gid.String(), g)
-			t.serve(g)
+			t.grantWaiting(g)
 		}
 	}
 }
--- a/core/host/verdict.go
+++ b/core/host/verdict.go
@@ -9,20 +9,20 @@
 	"github.com/yardhall/yardhall/core/outcome"
 )
 
-// Verdict is how a request ended for its caller.
+// Verdict is the result of a request for its caller.
 type Verdict struct {
 	Outcome outcome.Kind
 	Code    Code
 	Reason  string
-	// RetryAfter is when the caller may come back; 0 is no advice.
+	// RetryAfter is the advised wait before a retry; 0 for no advice.
 	RetryAfter time.Duration
-	// Claim is set where an earlier request under the same key stands.
+	// Claim is set if an earlier request holds the claim of the same key.
 	Claim *catalog.Claim
-	// Answer is that request's answer, where it is kept.
+	// Answer is the stored answer of that request, if it is available.
 	Answer *Answer
 }
 
-// Answer is a target's whole answer, kept for resends.
+// Answer is a target's complete answer, stored for resends.
 type Answer struct {
 	Status      int
 	ContentType string
--- a/core/host/view.go
+++ b/core/host/view.go
@@ -219,7 +219,7 @@
 	for id, c := range s.calls.All() {
 		d.Calls = append(d.Calls, DumpCall{
 			Request: id, Account: c.account.ID, Phase: c.phase.String(), Group: c.group.String(),
-			Target: c.target, Attempt: c.attempt, Deadline: c.req.Deadline,
+			Target: c.target, Attempt: c.attempt, Deadline: c.request.Deadline,
 		})
 	}
 	return d
@@ -244,7 +244,7 @@
 	d := &DumpSync{
 		Hosts: s.seeded.hosts, Asks: s.seeded.hub.polledLast, Serves: s.settings.IsReplica() || s.seeded.hub.serves,
 		Askers: s.seeded.clients.Len(), ConfirmedAt: s.requests.Confirmed().AsOf, Workers: s.requests.KnownWorkers(),
-		Drained: s.heldZones().List(), ZonesRevision: s.heldZones().Revision,
+		Drained: s.currentZones().List(), ZonesRevision: s.currentZones().Revision,
 	}
 	for _, h := range s.seeded.hub.list.Hosts {
 		d.Hubs = append(d.Hubs, h.Host)
--- a/core/host/write.go
+++ b/core/host/write.go
@@ -41,7 +41,7 @@
 // submit sends a write to the leader until it is answered or its time is over.
 func (t *transition) submit(w catalog.Write, deadline time.Time) {
 	t.counters.Writes++
-	t.sendWrite(pendingWrite{write: t.withSeen(w), deadline: deadline})
+	t.sendWrite(pendingWrite{write: t.withSeenRevision(w), deadline: deadline})
 }
 
 // overtaken tells whether a write is a route table whose number does not exceed
@@ -149,17 +149,17 @@
 	if t.raft.Role() != raft.Leader {
 		return
 	}
-	if have, ok := t.origins.Get(m.ID); ok && have == from {
+	if have, ok := t.writeOrigins.Get(m.ID); ok && have == from {
 		return
 	}
 	w, err := catalog.DecodeWrite(m.Packed)
 	if err != nil {
-		t.note(LogStateRestored, m.ID, "a forwarded write cannot be read: "+err.Error())
+		t.log(LogStateRestored, m.ID, "a forwarded write cannot be read: "+err.Error())
 		return
 	}
-	t.origins = t.origins.With(w.ID, from)
+	t.writeOrigins = t.writeOrigins.With(w.ID, from)
 	if !t.propose(w) {
-		t.origins = t.origins.Without(w.ID)
+		t.writeOrigins = t.writeOrigins.Without(w.ID)
 	}
 }
 
@@ -168,7 +168,7 @@
 	if !ok {
 		return
 	}
-	if ofEarlierProgram(p, r) {
+	if isFromEarlierVersion(p, r) {
 		return
 	}
 	if r.Code == catalog.BaseMoved {
@@ -182,11 +182,11 @@
 // writeDone hands the answer to whom the write was for.
 func (t *transition) writeDone(id string, r catalog.Result, known bool) {
 	if request, ok := strings.CutPrefix(id, "claim/"); ok {
-		t.claimAnswered(ident.Request(request), r, known)
+		t.handleClaimResult(ident.Request(request), r, known)
 		return
 	}
 	if strings.HasPrefix(id, "end/") || strings.HasPrefix(id, "auto/") {
-		t.autoDone(id, r, known)
+		t.handleOwnWriteResult(id, r, known)
 		return
 	}
 	t.emit(AnswerWrite{ID: id, Result: r, Known: known})
--- a/core/host/zones.go
+++ b/core/host/zones.go
@@ -14,70 +14,68 @@
 	"github.com/yardhall/yardhall/core/zones"
 )
 
-// Package zones holds which availability zones the operators have drained; here is how that
-// becomes known. Replicas hold it in the catalog. Each reply to a poll carries it whole, as
-// it is small, and what changes is sent at once. A confirmation therefore covers it as well
-// as the route table: a host that serves by a valid lease knows every order that is older
-// than the lease. The leader answers an order once it will be in force everywhere, by leases
-// of its own (package inforce) that count revisions of the drained zones in place of versions
-// of the route table.
+// Package zones holds which availability zones the operators have drained; this file distributes
+// that state. Replicas keep it in the catalog. As it is small, every poll reply carries all of it,
+// and changes are sent immediately. A confirmation therefore covers it as well as the route table:
+// a host with a valid lease knows every order older than the lease. The leader acknowledges an
+// order once all hosts apply it, using a second set of leases (package inforce) that counts
+// revisions of the drained zones instead of route table versions.
 //
-// An earlier program reads past all that. It is sent the workers of a drained zone as leaving,
-// which makes it send nothing new there either, and as ready again once the zone is taken
-// back.
+// Hosts of an earlier version ignore these fields. They receive the workers of a drained zone as
+// leaving, so they send them no new requests, and as ready again once the drain is revoked.
 
-// zonesVersion is the number under which package inforce counts a revision: from 1 on, as 0
-// stands there for what was never sent.
+// zonesVersion converts a revision to the version that package inforce counts. It starts at 1, as 0
+// stands for a version that was never sent.
 func zonesVersion(revision uint64) config.Version { return config.Version(revision) + 1 }
 
-// heldZones are the drained zones that this host sends others.
-func (s State) heldZones() zones.Drained {
+// currentZones returns the drained zones that this host sends to others.
+func (s State) currentZones() zones.Drained {
 	if s.settings.IsReplica() {
 		return s.catalog.Zones
 	}
 	return s.seeded.zones
 }
 
-// DrainedZones are the drained zones as this host knows them.
-func (s State) DrainedZones() zones.Drained { return s.heldZones() }
+// DrainedZones returns the drained zones known to this host.
+func (s State) DrainedZones() zones.Drained { return s.currentZones() }
 
-// takeZones serves by the drained zones that another host sent, where these are newer.
-func (t *transition) takeZones(from ident.Host, sent zones.Drained) {
+// adoptZones applies the drained zones received from another host if they are newer.
+func (t *transition) adoptZones(from ident.Host, sent zones.Drained) {
 	before := t.seeded.zones
 	t.seeded.zones = before.Newest(sent)
 	if t.seeded.zones.Revision == before.Revision {
 		return
 	}
 	t.requests = t.requests.WithDrained(t.seeded.zones)
-	t.noteZones(before.Revision, string(from))
+	t.logZoneOrders(before.Revision, string(from))
 }
 
-// zonesCommitted takes note of orders that were applied after a revision.
-func (t *transition) zonesCommitted(before uint64) {
+// recordZoneCommit records and logs the zone orders committed after a revision.
+func (t *transition) recordZoneCommit(before uint64) {
 	if t.catalog.Zones.Revision == before {
 		return
 	}
 	t.seeded.zonesInForce = t.seeded.zonesInForce.WithCommit(t.now)
-	t.noteZones(before, "the log")
+	t.logZoneOrders(before, "the log")
 }
 
-// noteZones logs the orders after a revision.
-func (t *transition) noteZones(before uint64, from string) {
-	for _, o := range t.heldZones().Since(before) {
-		t.note(LogZoneOrder, string(o.Zone), fmt.Sprintf("drained=%t revision=%d before=%d by=%s", o.Drained, o.Revision, before, from))
+// logZoneOrders logs the orders after a revision.
+func (t *transition) logZoneOrders(before uint64, from string) {
+	for _, o := range t.currentZones().Since(before) {
+		t.log(LogZoneOrder, string(o.Zone), fmt.Sprintf("drained=%t revision=%d before=%d by=%s", o.Drained, o.Revision, before, from))
 	}
 }
 
-// zonesDue tells whether a client is to be sent newer drained zones now.
-func (t *transition) zonesDue(c client) bool {
-	return c.knowsZones && c.zones < t.heldZones().Revision
+// zonesUpdateDue reports whether a client needs an update of the drained zones.
+func (t *transition) zonesUpdateDue(c client) bool {
+	return c.supportsZones && c.zonesRevision < t.currentZones().Revision
 }
 
-// workersForEarlier are registrations as a client is sent them whose program knows nothing of
-// drained zones: workers of such zones leave, and those of zones that were taken back are
-// sent each time, as the client would else not learn that they are ready again.
-func (t *transition) workersForEarlier(packed []byte) []byte {
-	held := t.heldZones()
+// workersForEarlierVersion rewrites registrations for a client that does not support drained zones:
+// workers of drained zones appear as leaving. Workers of zones whose drain was revoked are included
+// every time, or the client would not learn that they are ready again.
+func (t *transition) workersForEarlierVersion(packed []byte) []byte {
+	held := t.currentZones()
 	if held.Revision == 0 {
 		return packed
 	}
@@ -89,8 +87,8 @@
 		workers = append(workers, t.registry.InZone(o.Zone, t.now)...)
 	}
 	for i, w := range workers {
-		// Each order makes a worker's registration newer, as hubs may not know its latest
-		// heartbeats.
+		// Each order raises the sequence number of the zone's workers above that of their latest
+		// heartbeats, which hubs may not have.
 		workers[i].Seq += held.RevisionOf(w.Zone)
 		if held.Has(w.Zone) && w.State < registry.Draining {
 			workers[i].State = registry.Draining
@@ -99,78 +97,79 @@
 	return registry.Pack(workers)
 }
 
-// A replica of an earlier program goes on sending the workers of a drained zone as ready, and
-// forgets orders with each snapshot. So no order is acknowledged while one takes part in the
-// replicated log: what its leader and its followers send shows that within a heartbeat.
+// A replica of an earlier version sends the workers of a drained zone as ready and loses orders
+// with each snapshot. So no order is acknowledged while such a replica takes part in the replicated
+// log, which the messages of its leader and followers show within a heartbeat.
 
-// earlierReplicaLifetime is how long after its last message such a replica counts: longer than
-// hosts may serve by what it confirmed.
+// earlierReplicaLifetime is how long such a replica counts after its last message. It exceeds the
+// time that hosts may apply what the replica confirmed.
 const earlierReplicaLifetime = 4 * time.Second
 
-// noteReplicaProgram notes whether a replica's program knows of zones.
-func (t *transition) noteReplicaProgram(m Raft) {
+// recordReplicaVersion records whether a replica's version supports drained zones.
+func (t *transition) recordReplicaVersion(m Raft) {
 	if !m.KnowsZones {
 		t.seeded.earlierReplicaAt = t.now
 	}
 }
 
-// allReplicasKnowZones tells whether every replica that sends anything knows of zones.
-func (t *transition) allReplicasKnowZones() bool {
+// allReplicasSupportZones reports whether all replicas that sent a message recently support drained
+// zones.
+func (t *transition) allReplicasSupportZones() bool {
 	return t.now.Sub(t.seeded.earlierReplicaAt) > earlierReplicaLifetime
 }
 
-// changesZone tells whether a write is an order for a zone.
-func changesZone(w catalog.Write) bool {
+// isZoneOrder reports whether a write is a zone order.
+func isZoneOrder(w catalog.Write) bool {
 	_, ok := w.Command.(catalog.ChangeZone)
 	return ok
 }
 
-// withSeen names in an order the revision of its zone that is known where it is received.
-func (t *transition) withSeen(w catalog.Write) catalog.Write {
+// withSeenRevision sets the revision of the zone known to this host in a zone order.
+func (t *transition) withSeenRevision(w catalog.Write) catalog.Write {
 	if order, ok := w.Command.(catalog.ChangeZone); ok {
-		order.Seen = t.heldZones().RevisionOf(order.Zone)
+		order.Seen = t.currentZones().RevisionOf(order.Zone)
 		w.Command = order
 	}
 	return w
 }
 
-// ofEarlierProgram tells whether an answer to an order comes from a leader that knows
-// nothing of zones: it has neither carried out the order nor waited for it to be in force.
-func ofEarlierProgram(p pendingWrite, r catalog.Result) bool {
-	if !changesZone(p.write) {
+// isFromEarlierVersion reports whether the result of a zone order comes from a leader that does not
+// support drained zones: it neither applied the order nor waited until all hosts do.
+func isFromEarlierVersion(p pendingWrite, r catalog.Result) bool {
+	if !isZoneOrder(p.write) {
 		return false
 	}
 	return r.Code == catalog.NotFound || r.Code == catalog.OK && zonesVersion(r.Zones) < p.inForce
 }
 
-// grantZonesLease remembers which drained zones a host serves by, as it reports, and that
-// the reply confirms those held here.
+// grantZonesLease records the oldest drained zones that a polling host may apply, and that the
+// reply confirms the current ones.
 func (t *transition) grantZonesLease(from ident.Host, m Poll) {
 	t.seeded.zonesInForce = t.seeded.zonesInForce.WithGrant(inforce.Grant{
-		From: from, Boot: m.Boot, InForce: m.ZonesInForce, Sent: zonesVersion(t.heldZones().Revision),
+		From: from, Boot: m.Boot, InForce: m.ZonesInForce, Sent: zonesVersion(t.currentZones().Revision),
 	}, t.now)
 }
 
-// zonesHold is how long an order's acknowledgement waits for hosts that have not yet said
-// that they serve by it, where leases would end in time without: hosts in touch know within
-// half of it, and an operator is not kept waiting for one that is lost. Measured on a day
-// with hosts cut off before: 1.6 s where it waited as for a route table.
-const zonesHold = 800 * time.Millisecond
+// maxZonesAckDelay is how long the acknowledgement of a zone order waits for hosts that have not
+// reported to apply it, even if their leases would end sooner without that. Reachable hosts need
+// less than half of it, and unreachable ones must not keep the operator waiting longer.
+const maxZonesAckDelay = 800 * time.Millisecond
 
-// zonesSettings are the bounds by which orders are acknowledged.
-func (t *transition) zonesSettings() inforce.Settings {
+// zonesInForceSettings returns the settings of package inforce for zone orders.
+func (t *transition) zonesInForceSettings() inforce.Settings {
 	set := t.inForceSettings()
-	return set.WithHold(zonesHold, t.requests.ZoneDrain())
+	return set.WithHold(maxZonesAckDelay, t.requests.ZoneDrain())
 }
 
-// zonesReportDue tells whether this host polls early, as a leader may wait for its news.
+// zonesReportDue reports whether this host should poll early, as a leader may wait for its report.
 func (t *transition) zonesReportDue() bool {
-	return t.seeded.zonesInForce.ReportDue(zonesVersion(t.seeded.zones.Revision), t.zonesSettings(), t.now)
+	return t.seeded.zonesInForce.ReportDue(zonesVersion(t.seeded.zones.Revision), t.zonesInForceSettings(), t.now)
 }
 
-// zonesReport is the oldest revision in force, as reported in polls now.
+// zonesReport returns the oldest revision that this host or its clients may apply, for the next
+// polls.
 func (t *transition) zonesReport() config.Version {
-	next, oldest := t.seeded.zonesInForce.WithReport(zonesVersion(t.seeded.zones.Revision), t.zonesSettings(), t.now)
+	next, oldest := t.seeded.zonesInForce.WithReport(zonesVersion(t.seeded.zones.Revision), t.zonesInForceSettings(), t.now)
 	t.seeded.zonesInForce = next
 	return oldest
 }
