--- a/core/host/backoff.go
+++ b/core/host/backoff.go
@@ -19,7 +19,7 @@
 // canSendTo reports whether this host may send new requests to a target.
 func (t *transition) canSendTo(id ident.Target) bool {
 	h, _ := t.health.Get(id)
-	return h.Usable(t.now) && h.BackoffLeft(t.now) == 0
+	return h.Usable(t.now) && h.RemainingBackoff(t.now) == 0
 }
 
 // excludedTargets returns the targets for which the call must not get a permit: those already
@@ -27,7 +27,7 @@
 func (t *transition) excludedTargets(c call) []ident.Target {
 	out := slices.Clone(c.triedTargets)
 	for _, target := range t.callTargets(c) {
-		if h, _ := t.health.Get(target.ID); h.BackoffLeft(t.now) > 0 {
+		if h, _ := t.health.Get(target.ID); h.RemainingBackoff(t.now) > 0 {
 			out = append(out, target.ID)
 		}
 	}
@@ -54,7 +54,7 @@
 		if !h.Usable(t.now) {
 			continue
 		}
-		left := h.BackoffLeft(t.now)
+		left := h.RemainingBackoff(t.now)
 		if left == 0 {
 			return 0
 		}
--- a/core/host/crashes.go
+++ b/core/host/crashes.go
@@ -57,7 +57,7 @@
 	// persistedKey is the key of the crash list that a replica has persisted.
 	persistedKey hash.Key
 	// recentAnswers are the requests recently answered on a host of a listed fleet.
-	recentAnswers crashes.Answers
+	recentAnswers crashes.RecentAnswers
 	// answersToReport holds when suspected requests were answered. They are reported until
 	// reportAnswersUntil; answerReportDue is set while one has not been reported.
 	answersToReport    table.Table[crashes.Content, time.Time]
@@ -69,7 +69,7 @@
 
 // crashCount returns the number of crashes detected here or reported by clients.
 func (t *transition) crashCount() uint64 {
-	return t.requests.Crashes().Seen + t.crashes.clientReports.Seen + t.crashes.observer.Reports().Seen
+	return t.requests.CrashReports().Total + t.crashes.clientReports.Total + t.crashes.observer.Reports().Total
 }
 
 // crashPollDue reports whether this host should poll early to report crashes or answers.
@@ -96,9 +96,9 @@
 	for _, e := range t.requests.CrashList().Entries() {
 		at, ok := t.requests.AnsweredAt(e.Content, t.now)
 		if !ok {
-			at, ok = t.crashes.recentAnswers.At(e.Content, t.now)
+			at, ok = t.crashes.recentAnswers.LastAnswered(e.Content, t.now)
 		}
-		if ok && e.Ends > 0 {
+		if ok && e.Crashes > 0 {
 			t.queueAnswerReport(e.Content, at)
 		}
 	}
@@ -120,14 +120,14 @@
 // crashReports returns the recent crashes detected here or reported by the clients of this hub.
 func (t *transition) crashReports() []CrashReport {
 	t.crashes.reportedCount = t.crashCount()
-	all := t.requests.Crashes().Lately(t.now)
-	all = append(all, t.crashes.clientReports.Lately(t.now)...)
-	all = append(all, t.crashes.observer.Reports().Lately(t.now)...)
+	all := t.requests.CrashReports().Recent(t.now)
+	all = append(all, t.crashes.clientReports.Recent(t.now)...)
+	all = append(all, t.crashes.observer.Reports().Recent(t.now)...)
 	out := make([]CrashReport, 0, len(all))
 	for _, r := range all {
 		out = append(out, CrashReport{
 			Content: r.Content, Attempt: r.Crash.Attempt, Worker: r.Crash.Worker, Ran: r.Crash.EndedAt.Sub(r.Crash.SentAt),
-			Age: t.now.Sub(r.Crash.EndedAt), Begun: r.Crash.Begun,
+			Age: t.now.Sub(r.Crash.EndedAt), Begun: r.Crash.AnswerStarted,
 		})
 	}
 	return out
@@ -143,14 +143,14 @@
 	for _, r := range reports {
 		ended := t.now.Add(-max(0, r.Age))
 		c := crashes.Crash{
-			Attempt: r.Attempt, Worker: r.Worker, SentAt: ended.Add(-max(0, r.Ran)), EndedAt: ended, Begun: r.Begun,
+			Attempt: r.Attempt, Worker: r.Worker, SentAt: ended.Add(-max(0, r.Ran)), EndedAt: ended, AnswerStarted: r.Begun,
 		}
 		if !t.evaluatesCrashes() {
 			report := crashes.Report{Content: r.Content, Crash: c, SeenAt: t.now}
 			t.crashes.clientReports = t.crashes.clientReports.With(report, t.now)
 			continue
 		}
-		if e, ok := t.requests.CrashList().Get(r.Content); ok && e.Ends == 0 && !c.EndedAt.After(e.At) {
+		if e, ok := t.requests.CrashList().Get(r.Content); ok && e.Crashes == 0 && !c.EndedAt.After(e.At) {
 			continue
 		}
 		t.crashes.evidence = t.crashes.evidence.With(r.Content, c, t.now)
@@ -164,7 +164,7 @@
 // crashes is only suspected for crashes.AnswersWithin, so that hosts can report that it was
 // answered in the meantime.
 func (t *transition) evaluateCrashes(from ident.Host) {
-	suspects := t.crashes.evidence.Judged(t.now)
+	suspects := t.crashes.evidence.Evaluate(t.now)
 	pending := table.Table[crashes.Content, time.Time]{}
 	for i, e := range suspects {
 		since, known := t.crashes.suspectedSince.Get(e.Content)
@@ -172,8 +172,8 @@
 			since = t.now
 		}
 		pending = pending.With(e.Content, since)
-		if t.now.Sub(since) < crashes.AnswersWithin {
-			suspects[i] = e.Watched()
+		if t.now.Sub(since) < crashes.AnswerReportWindow {
+			suspects[i] = e.AsWatched()
 		}
 	}
 	t.crashes.suspectedSince = pending
@@ -184,7 +184,7 @@
 // requests.
 func (t *transition) tickCrashes() {
 	for _, at := range t.crashes.suspectedSince.All() {
-		if waited := t.now.Sub(at); waited >= crashes.AnswersWithin && waited < crashes.AnswersWithin+reevaluationWindow {
+		if waited := t.now.Sub(at); waited >= crashes.AnswerReportWindow && waited < crashes.AnswerReportWindow+reevaluationWindow {
 			t.evaluateCrashes(t.settings.ID)
 			return
 		}
@@ -202,8 +202,8 @@
 	}
 	received := make([]crashes.Entry, 0, len(entries))
 	for _, e := range entries {
-		entry := crashes.Entry{Content: e.Content, Ends: max(0, e.Ends), At: t.now.Add(-max(0, e.Age))}
-		if entry.Ends == 0 {
+		entry := crashes.Entry{Content: e.Content, Crashes: max(0, e.Ends), At: t.now.Add(-max(0, e.Age))}
+		if entry.Crashes == 0 {
 			t.handleAnswerReport(entry)
 		}
 		received = append(received, entry)
@@ -214,7 +214,7 @@
 // handleAnswerReport drops the evidence of before an answer that another host reports; a hub
 // forwards the report.
 func (t *transition) handleAnswerReport(e crashes.Entry) {
-	t.crashes.evidence = t.crashes.evidence.Without(e.Content, e.At)
+	t.crashes.evidence = t.crashes.evidence.WithAnswer(e.Content, e.At)
 	if !t.evaluatesCrashes() && t.now.Sub(e.At) <= answerReportWindow {
 		t.queueAnswerReport(e.Content, e.At)
 	}
@@ -230,9 +230,9 @@
 	}
 	for _, e := range entries {
 		previous, _ := before.Get(e.Content)
-		if current, _ := after.Get(e.Content); current.Ends != previous.Ends {
+		if current, _ := after.Get(e.Content); current.Crashes != previous.Crashes {
 			t.log(LogCrashes, current.Content.String(), fmt.Sprintf("ends=%d before=%d last_ms=%d refused=%t by=%s",
-				current.Ends, previous.Ends, t.now.Sub(current.At).Milliseconds(), current.Ends >= crashes.EndsToRefuse, from))
+				current.Crashes, previous.Crashes, t.now.Sub(current.At).Milliseconds(), current.Crashes >= crashes.CrashesToRefuse, from))
 		}
 	}
 	t.queueKnownAnswers()
@@ -241,7 +241,7 @@
 
 // persistCrashes stores the decided entries of the crash list on a replica's disk if they changed.
 func (t *transition) persistCrashes(l crashes.List) {
-	settled := l.Settled()
+	settled := l.Decided()
 	if !t.settings.IsReplica() || settled.Key == t.crashes.persistedKey {
 		return
 	}
@@ -253,7 +253,7 @@
 func (t *transition) crashEntries(l crashes.List) []CrashEntry {
 	out := make([]CrashEntry, 0, l.Len())
 	for _, e := range l.Entries() {
-		out = append(out, CrashEntry{Content: e.Content, Ends: e.Ends, Age: t.now.Sub(e.At)})
+		out = append(out, CrashEntry{Content: e.Content, Ends: e.Crashes, Age: t.now.Sub(e.At)})
 	}
 	return out
 }
@@ -273,13 +273,13 @@
 		return
 	}
 	t.requests = t.requests.WithCrashList(t.requests.CrashList().With(t.now))
-	t.crashes.evidence = t.crashes.evidence.Forget(t.now)
+	t.crashes.evidence = t.crashes.evidence.Expire(t.now)
 }
 
 // WithCrashList returns the state with the crash list read from disk.
 func (s State) WithCrashList(entries []CrashEntry, now time.Time) State {
 	t := transition{State: s, now: now}
 	t.handleCrashEntries(s.settings.ID, entries)
-	t.crashes.persistedKey = t.requests.CrashList().Settled().Key
+	t.crashes.persistedKey = t.requests.CrashList().Decided().Key
 	return t.State
 }
--- a/core/host/host.go
+++ b/core/host/host.go
@@ -122,7 +122,7 @@
 func New(s Settings, seed uint64, now time.Time) State {
 	return State{
 		settings: s, seed: seed, started: now, retryBudget: maxRetryBudget,
-		requests: requests.New(s.Requests).WithStart(now),
+		requests: requests.New(s.Requests).WithStartedAt(now),
 	}
 }
 
--- a/core/host/listedcrashes.go
+++ b/core/host/listedcrashes.go
@@ -48,15 +48,15 @@
 
 // suspectCrash records an interrupted attempt as a suspected crash, and probes its target, whose
 // load report shows whether the process exited.
-func (t *transition) suspectCrash(c call, r outcome.Broken) {
+func (t *transition) suspectCrash(c call, r outcome.Interrupted) {
 	h, _ := t.health.Get(c.target)
 	target, known := t.config.Targets.Get(c.target)
-	if c.content == "" || r.Silent || !known || h.IsLeaving(t.now) {
+	if c.content == "" || r.TimedOut || !known || h.IsLeaving(t.now) {
 		return
 	}
-	probed := t.crashes.observer.Asked(c.target, c.targetBoot, t.now)
-	t.crashes.observer = t.crashes.observer.WithSuspect(crashes.Suspect{Content: c.content, Life: c.targetBoot, Crash: crashes.Crash{
-		Attempt: fmt.Sprintf("%s/%d", c.request.ID, c.attempt), Worker: c.target, SentAt: c.sentAt, EndedAt: t.now, Begun: r.Begun,
+	probed := t.crashes.observer.ProbeRequested(c.target, c.targetBoot, t.now)
+	t.crashes.observer = t.crashes.observer.WithSuspect(crashes.Suspect{Content: c.content, Boot: c.targetBoot, Crash: crashes.Crash{
+		Attempt: fmt.Sprintf("%s/%d", c.request.ID, c.attempt), Worker: c.target, SentAt: c.sentAt, EndedAt: t.now, AnswerStarted: r.AnswerStarted,
 	}}, t.now)
 	if !probed {
 		t.emit(Probe{Target: target})
@@ -75,13 +75,13 @@
 	case ev.Boot > h.Boot:
 		t.recordTargetExit(ev.Target, h.Boot)
 	default:
-		t.crashes.observer = t.crashes.observer.WithLife(ev.Target, h.Boot, t.now)
+		t.crashes.observer = t.crashes.observer.WithProcessAlive(ev.Target, h.Boot, t.now)
 	}
 }
 
 // recordTargetExit records the proof that a target's process has exited.
 func (t *transition) recordTargetExit(id ident.Target, boot uint64) {
-	t.crashes.observer, _ = t.crashes.observer.WithEnd(id, boot, t.now)
+	t.crashes.observer, _ = t.crashes.observer.WithProcessExit(id, boot, t.now)
 }
 
 // crashHeartbeatDue reports whether a heartbeat should be sent early to report crashes.
--- a/core/host/owner.go
+++ b/core/host/owner.go
@@ -28,7 +28,7 @@
 		if !ok {
 			continue
 		}
-		g = g.WithEngines(t.engineSpecs(p.id, p.targets), t.now)
+		g = g.WithTargets(t.engineSpecs(p.id, p.targets), t.now)
 		t.groups = t.groups.With(p.id.String(), g)
 		t.grantWaiting(g)
 	}
@@ -63,17 +63,17 @@
 
 // loadBound returns the load bound of a group: its service's multiple, and the loads of the
 // service's other groups.
-func (t *transition) loadBound(id routing.GroupID) routing.Bound {
+func (t *transition) loadBound(id routing.GroupID) routing.LoadBound {
 	s, _ := t.config.Services.Get(id.Service)
-	b := routing.Bound{Multiple: s.Multiple}
+	b := routing.LoadBound{LoadFactor: s.Multiple}
 	for _, l := range t.groupLoads[id.Service] {
 		if l.Group != id {
-			b.Others = append(b.Others, l)
+			b.OtherGroups = append(b.OtherGroups, l)
 		}
 	}
 	for _, g := range t.groups.All() {
 		if g.ID.Service == id.Service && g.ID != id {
-			b.Others = append(b.Others, groupLoad(g))
+			b.OtherGroups = append(b.OtherGroups, groupLoad(g))
 		}
 	}
 	return b
@@ -81,9 +81,9 @@
 
 // loadBoundIfWaiting returns the load bound, or the zero value, which is cheaper, if no request
 // waits for it.
-func (t *transition) loadBoundIfWaiting(g routing.Group) routing.Bound {
-	if g.Waiting() == 0 {
-		return routing.Bound{}
+func (t *transition) loadBoundIfWaiting(g routing.Group) routing.LoadBound {
+	if g.QueueLength() == 0 {
+		return routing.LoadBound{}
 	}
 	return t.loadBound(g.ID)
 }
@@ -103,7 +103,7 @@
 }
 
 func groupLoad(g routing.Group) routing.GroupLoad {
-	return routing.GroupLoad{Group: g.ID, Load: g.Total(), Usable: g.Usable(), Waiting: g.Waiting()}
+	return routing.GroupLoad{Group: g.ID, Load: g.TotalLoad(), Usable: g.UsableTargets(), Waiting: g.QueueLength()}
 }
 
 func (t *transition) ownGroupLoads() []routing.GroupLoad {
@@ -111,7 +111,7 @@
 	for _, g := range t.groups.All() {
 		// A new owner does not know its load until routers have reported their permits; a low
 		// report would attract requests from all groups.
-		if t.now.Sub(g.Taken) >= ownerSettleTime {
+		if t.now.Sub(g.OwnedSince) >= ownerSettleTime {
 			out = append(out, groupLoad(g))
 		}
 	}
@@ -125,7 +125,7 @@
 		return
 	}
 	req := t.newPermitRequest(from, m)
-	g, answer := g.Request(req, t.loadBound(m.Group), t.now)
+	g, answer := g.RequestPermit(req, t.loadBound(m.Group), t.now)
 	g, shed := g.TakeShed()
 	t.groups = t.groups.With(m.Group.String(), g)
 	for _, a := range shed {
@@ -181,7 +181,7 @@
 
 func (t *transition) handleReleasePermit(m ReleasePermit) {
 	for key, g := range t.groups.All() {
-		if !g.Holds(m.Place) {
+		if !g.HasRequest(m.Place) {
 			continue
 		}
 		next, grants := g.Release(m.Place, t.loadBoundIfWaiting(g), t.now)
@@ -193,10 +193,10 @@
 
 // grantWaiting grants free capacity to queued requests.
 func (t *transition) grantWaiting(g routing.Group) {
-	if g.Waiting() == 0 {
+	if g.QueueLength() == 0 {
 		return
 	}
-	g, grants := g.Serve(t.loadBound(g.ID), t.now)
+	g, grants := g.ServeQueue(t.loadBound(g.ID), t.now)
 	t.groups = t.groups.With(g.ID.String(), g)
 	t.sendGrants(grants)
 }
@@ -204,7 +204,7 @@
 func (t *transition) sendGrants(grants []routing.Grant) {
 	for _, grant := range grants {
 		t.countPermitAnswer(grant.Answer())
-		t.sendPermitReply(grant.Ask, grant.Answer())
+		t.sendPermitReply(grant.Request, grant.Answer())
 	}
 }
 
@@ -231,7 +231,7 @@
 	if owner == "" {
 		return
 	}
-	for chats := range slices.Chunk(g.ChatList(), chatsPerMessage) {
+	for chats := range slices.Chunk(g.Chats(), chatsPerMessage) {
 		t.send(owner, AdoptChats{Group: g.ID, Chats: chats})
 	}
 }
@@ -247,7 +247,7 @@
 		return
 	}
 	d, _ := t.chatBackups.Get(key)
-	d.Bound = t.settings.MaxChatsPerGroup
+	d.MaxChats = t.settings.MaxChatsPerGroup
 	for _, c := range m.Chats {
 		d = d.With(c.Key, c.Place)
 	}
@@ -257,7 +257,7 @@
 // backUpChats sends the chats placed since the last heartbeat to each group's next owner in line.
 func (t *transition) backUpChats() {
 	for key, g := range t.groups.All() {
-		next, moved := g.TakeMoved()
+		next, moved := g.TakePlacements()
 		t.groups = t.groups.With(key, next)
 		to, ok := t.nextOwner(g.ID)
 		if !ok {
--- a/core/host/retry.go
+++ b/core/host/retry.go
@@ -52,17 +52,17 @@
 		}
 		t.finishCall(c, Verdict{Outcome: outcome.Ran, Code: CodeOK})
 	case outcome.NeverSent:
-		if r.Refused {
+		if r.ConnectRefused {
 			t.recordTargetExit(c.target, c.targetBoot)
 		}
 		c.avoidGroups = append(c.avoidGroups[:len(c.avoidGroups):len(c.avoidGroups)], c.group)
 		t.retryCall(c, Verdict{Code: CodeNoTarget, Reason: "the target could not be reached: " + r.Reason}, 0)
 	case outcome.Declined:
 		t.retryCall(c, Verdict{Code: CodeOverloaded, Reason: "the target declined: " + r.Reason}, 0)
-	case outcome.Broken:
+	case outcome.Interrupted:
 		t.suspectCrash(c, r)
 		v := Verdict{Code: CodeTargetFailed, Reason: "the target's answer was interrupted: " + r.Reason}
-		if c.request.AtMostOnce || r.Begun {
+		if c.request.AtMostOnce || r.AnswerStarted {
 			v.Outcome = c.combinedOutcome
 			t.finishCall(c, v)
 			return
@@ -116,7 +116,7 @@
 			h = h.WithLeaving(true, t.now)
 		}
 		t.setHealth(id, h, wasUsable)
-	case outcome.NeverSent, outcome.Broken:
+	case outcome.NeverSent, outcome.Interrupted:
 		t.setHealth(id, h.WithResult(false, t.now), wasUsable)
 	case outcome.Abandoned:
 	}
--- a/core/host/targets.go
+++ b/core/host/targets.go
@@ -16,17 +16,17 @@
 // maxEjectedShare of the group's engines are ejected and no other group of the service has a usable
 // engine, the ejected ones are used anyway: the fault is probably on this host's side. Engines of a
 // zone without serving hosts are used only while they answer, as the zone may be unreachable.
-func (t *transition) engineSpecs(id routing.GroupID, targets []config.Target) []routing.Spec {
-	specs := make([]routing.Spec, 0, len(targets))
+func (t *transition) engineSpecs(id routing.GroupID, targets []config.Target) []routing.TargetSpec {
+	specs := make([]routing.TargetSpec, 0, len(targets))
 	ejected := 0
 	for _, target := range targets {
 		h, _ := t.health.Get(target.ID)
 		if h.Ejected(t.now) {
 			ejected++
 		}
-		specs = append(specs, routing.Spec{
+		specs = append(specs, routing.TargetSpec{
 			ID: target.ID, Slots: target.Slots, Models: target.Models,
-			Usable: h.Usable(t.now) && (id.Zone == t.settings.Zone || h.Answers(t.now)),
+			Usable: h.Usable(t.now) && (id.Zone == t.settings.Zone || h.IsResponding(t.now)),
 		})
 	}
 	if float64(ejected) <= maxEjectedShare*float64(len(targets)) || t.otherGroupUsable(id) {
@@ -42,7 +42,7 @@
 
 // otherGroupUsable reports whether another group of the service has a usable engine.
 func (t *transition) otherGroupUsable(id routing.GroupID) bool {
-	return slices.ContainsFunc(t.loadBound(id).Others, func(l routing.GroupLoad) bool { return l.Usable > 0 })
+	return slices.ContainsFunc(t.loadBound(id).OtherGroups, func(l routing.GroupLoad) bool { return l.Usable > 0 })
 }
 
 func (t *transition) handleLoadReported(ev LoadReported) {
@@ -86,7 +86,7 @@
 
 func (t *transition) markLeaving(id ident.Target) {
 	h, _ := t.health.Get(id)
-	t.setHealth(id, h.WithReportedLeaving(t.now), h.Usable(t.now))
+	t.setHealth(id, h.WithLeavingFromPeer(t.now), h.Usable(t.now))
 }
 
 // setHealth stores h. If the target's usability changes, it logs that and updates the target's
@@ -108,7 +108,7 @@
 	for _, p := range t.layout.services[gid.Service] {
 		if p.id == gid {
 			g, _ := t.groups.Get(gid.String())
-			g = g.WithEngines(t.engineSpecs(p.id, p.targets), t.now)
+			g = g.WithTargets(t.engineSpecs(p.id, p.targets), t.now)
 			t.groups = t.groups.With(gid.String(), g)
 			t.grantWaiting(g)
 		}
--- a/core/host/updates.go
+++ b/core/host/updates.go
@@ -73,7 +73,7 @@
 // link for longer than the fleet needs to start.
 func (t *transition) hubsExpected() bool {
 	return t.settings.IsReplica() && t.seeded.hub.list.Len() == 0 && t.seeded.clients.Len() > t.hubsAbove() &&
-		t.now.Sub(t.started) < hubWarmUp+hubs.Settle
+		t.now.Sub(t.started) < hubWarmUp+hubs.SettleTime
 }
 
 // workerBatches caches packed batches of registrations, which many clients receive, by the revision
--- a/core/host/zones.go
+++ b/core/host/zones.go
@@ -42,11 +42,11 @@
 // adoptZones applies the drained zones received from another host if they are newer.
 func (t *transition) adoptZones(from ident.Host, sent zones.Drained) {
 	before := t.seeded.zones
-	t.seeded.zones = before.Newest(sent)
+	t.seeded.zones = before.Latest(sent)
 	if t.seeded.zones.Revision == before.Revision {
 		return
 	}
-	t.requests = t.requests.WithDrained(t.seeded.zones)
+	t.requests = t.requests.WithDrainedZones(t.seeded.zones)
 	t.logZoneOrders(before.Revision, string(from))
 }
 
@@ -61,7 +61,7 @@
 
 // logZoneOrders logs the orders after a revision.
 func (t *transition) logZoneOrders(before uint64, from string) {
-	for _, o := range t.currentZones().Since(before) {
+	for _, o := range t.currentZones().OrdersSince(before) {
 		t.log(LogZoneOrder, string(o.Zone), fmt.Sprintf("drained=%t revision=%d before=%d by=%s", o.Drained, o.Revision, before, from))
 	}
 }
@@ -90,7 +90,7 @@
 		// Each order raises the sequence number of the zone's workers above that of their latest
 		// heartbeats, which hubs may not have.
 		workers[i].Seq += held.RevisionOf(w.Zone)
-		if held.Has(w.Zone) && w.State < registry.Draining {
+		if held.IsDrained(w.Zone) && w.State < registry.Draining {
 			workers[i].State = registry.Draining
 		}
 	}
@@ -146,7 +146,7 @@
 // reply confirms the current ones.
 func (t *transition) grantZonesLease(from ident.Host, m Poll) {
 	t.seeded.zonesInForce = t.seeded.zonesInForce.WithGrant(inforce.Grant{
-		From: from, Boot: m.Boot, InForce: m.ZonesInForce, Sent: zonesVersion(t.currentZones().Revision),
+		From: from, Boot: m.Boot, OldestInForce: m.ZonesInForce, SentVersion: zonesVersion(t.currentZones().Revision),
 	}, t.now)
 }
 
@@ -158,7 +158,7 @@
 // zonesInForceSettings returns the settings of package inforce for zone orders.
 func (t *transition) zonesInForceSettings() inforce.Settings {
 	set := t.inForceSettings()
-	return set.WithHold(maxZonesAckDelay, t.requests.ZoneDrain())
+	return set.WithAckDelay(maxZonesAckDelay, t.requests.ZoneDrain())
 }
 
 // zonesReportDue reports whether this host should poll early, as a leader may wait for its report.
@@ -169,7 +169,7 @@
 // zonesReport returns the oldest revision that this host or its clients may apply, for the next
 // polls.
 func (t *transition) zonesReport() config.Version {
-	next, oldest := t.seeded.zonesInForce.WithReport(zonesVersion(t.seeded.zones.Revision), t.zonesInForceSettings(), t.now)
+	next, oldest := t.seeded.zonesInForce.TakeReport(zonesVersion(t.seeded.zones.Revision), t.zonesInForceSettings(), t.now)
 	t.seeded.zonesInForce = next
 	return oldest
 }
--- a/core/requests/cachesource_test.go
+++ b/core/requests/cachesource_test.go
@@ -22,13 +22,13 @@
 // it keeps the prefix.
 func TestRetryTakesThePrefixFromTheEngineThatFailed(t *testing.T) {
 	for name, result := range map[string]outcome.Attempt{
-		"failed": outcome.Answered{Status: 500}, "declined": outcome.Declined{}, "broke off": outcome.Broken{},
+		"failed": outcome.Answered{Status: 500}, "declined": outcome.Declined{}, "broke off": outcome.Interrupted{},
 	} {
 		r := request("1", "/resumable/x")
 		r.Prompt = shared()
 		s, d := arrive(t, ready(6), r, start)
 		first := d.(requests.Dispatch)
-		_, decisions := requests.Reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: result, Wanted: true}, start)
+		_, decisions := requests.Reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: result, CallerWaiting: true}, start)
 		again := only(t, decisions).(requests.Dispatch)
 		require.NotEqual(t, first.Worker.ID, again.Worker.ID)
 		require.Equal(t, name != "broke off", again.CacheFrom == first.Worker.Address, name)
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -12,8 +12,8 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// TestNoticesOfWorkersAreRead reads what workers say of themselves with their answers.
-func TestNoticesOfWorkersAreRead(t *testing.T) {
+// TestParseNotice guards against misread shutdown and backoff headers of workers.
+func TestParseNotice(t *testing.T) {
 	names := DefaultHeaders()
 	now := time.Date(2026, time.May, 4, 12, 0, 0, 0, time.UTC)
 	backoff := func(d time.Duration) requests.Notice { return requests.Notice{Backoff: d} }
@@ -29,7 +29,7 @@
 		"does not leave":                       {status: 200, leaving: "0"},
 		"another process answers":              {status: 421, leaving: "1", retryAfter: "3"},
 		"whole seconds":                        {status: 503, retryAfter: "3", want: backoff(3 * time.Second)},
-		"too many requests":                    {status: 429, retryAfter: "2", want: requests.Notice{Reluctance: 2 * time.Second}},
+		"too many requests":                    {status: 429, retryAfter: "2", want: requests.Notice{SoftBackoff: 2 * time.Second}},
 		"leaves and backs off":                 {status: 503, leaving: "1", retryAfter: "1", want: requests.Notice{Leaving: true, Backoff: time.Second}},
 		"advice with a whole answer":           {status: 200, retryAfter: "3"},
 		"declined without saying for how long": {status: 503},
@@ -42,7 +42,7 @@
 					header.Set(key, value)
 				}
 			}
-			require.Equal(t, tt.want, names.notice(&http.Response{StatusCode: tt.status, Header: header}, now))
+			require.Equal(t, tt.want, names.parseNotice(&http.Response{StatusCode: tt.status, Header: header}, now))
 		})
 	}
 }
