--- a/core/host/updates.go
+++ b/core/host/updates.go
@@ -37,7 +37,7 @@
 	sent := 0
 	for _, id := range t.seeded.clients.KeysAfter(t.seeded.updatedLast) {
 		c, _ := t.seeded.clients.Get(id)
-		if c.isLive(t.now) && (t.tableUpdateDue(c) || t.registrationsUpdateDue(c) || t.crashListUpdateDue(c) || t.zonesUpdateDue(c)) {
+		if c.isLive(t.now) && (t.tableDue(c) || t.registrationsDue(c) || t.crashListDue(c) || t.zonesDue(c)) {
 			t.sendReply(id, c, Poll{})
 			t.seeded.updatedLast = id
 			sent++
@@ -48,20 +48,18 @@
 	}
 }
 
-// tableUpdateDue reports whether to send a client a newer route table.
-func (t *transition) tableUpdateDue(c client) bool {
+// tableDue reports whether to send a client a newer route table.
+func (t *transition) tableDue(c client) bool {
 	return c.receivesTable && c.version < t.currentConfig().Version && t.seeded.bulkBytes < maxBulkBytesPerTick
 }
 
-// registrationsUpdateDue reports whether to send a client registrations.
-func (t *transition) registrationsUpdateDue(c client) bool {
+// registrationsDue reports whether to send a client registrations.
+func (t *transition) registrationsDue(c client) bool {
 	return c.revision < t.registry.Revision() && t.now.Sub(c.updatedAt) >= t.updateInterval() && !t.hubsExpected()
 }
 
-// crashListUpdateDue reports whether to send a client the crash list.
-func (t *transition) crashListUpdateDue(c client) bool {
-	return c.crashList != t.requests.CrashList().Key
-}
+// crashListDue reports whether to send a client the crash list.
+func (t *transition) crashListDue(c client) bool { return c.crashList != t.requests.CrashList().Key }
 
 // updateInterval returns the minimum time between two registration updates to a client.
 func (t *transition) updateInterval() time.Duration {
--- a/core/host/zones.go
+++ b/core/host/zones.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// zonesUpdateDue reports whether a client needs an update of the drained zones.
-func (t *transition) zonesUpdateDue(c client) bool {
+// zonesDue reports whether a client needs an update of the drained zones.
+func (t *transition) zonesDue(c client) bool {
 	return c.supportsZones && c.zonesRevision < t.currentZones().Revision
 }
 
