--- a/core/host/fallback.go
+++ b/core/host/fallback.go
@@ -104,9 +104,9 @@
 	m.Cut = true
 	t.recordReply(from, m)
 	t.applyRegistrations(from, m)
-	t.takeCrashEntries(from, m.CrashEntries)
+	t.handleCrashEntries(from, m.CrashEntries)
 	t.applyTable(m)
-	t.takeZones(from, m.Zones)
+	t.adoptZones(from, m.Zones)
 	t.recordNewestVersion(m.Version)
 	sent, known := t.popPendingPoll(m.Round)
 	if known && m.Fresh {
--- a/core/host/follow.go
+++ b/core/host/follow.go
@@ -38,15 +38,15 @@
 	if t.raft.Active() {
 		t.tickReplicaReady()
 	}
-	if t.now.Before(t.followAt) {
+	if t.now.Before(t.nextFollowAt) {
 		return
 	}
-	t.followAt = t.now.Add(followInterval)
+	t.nextFollowAt = t.now.Add(followInterval)
 	if t.raft.Active() {
 		t.registerSelf()
 		return
 	}
-	t.follows++
+	t.followAttempts++
 	m := Follow{Host: t.selfHost(), Version: t.config.Version}
 	if to, ok := t.followSource(); ok {
 		t.send(to, m)
@@ -86,7 +86,7 @@
 
 func (t *transition) becomeReady(source string) {
 	t.ready = true
-	t.note(LogReady, string(t.settings.ID), fmt.Sprintf("version=%d from %s", t.config.Version, source))
+	t.log(LogReady, string(t.settings.ID), fmt.Sprintf("version=%d from %s", t.config.Version, source))
 }
 
 func (t *transition) selfHost() config.Host {
@@ -102,7 +102,7 @@
 		return "", false
 	}
 	if !t.ready {
-		return replicas[t.follows%len(replicas)].ID, true
+		return replicas[t.followAttempts%len(replicas)].ID, true
 	}
 	var alive []ident.Host
 	for _, r := range replicas {
@@ -111,7 +111,7 @@
 		}
 	}
 	if len(alive) == 0 {
-		return replicas[t.follows%len(replicas)].ID, true
+		return replicas[t.followAttempts%len(replicas)].ID, true
 	}
 	return hash.Best(hash.Of(string(t.settings.ID)), alive, func(h ident.Host) string { return string(h) })
 }
@@ -260,5 +260,5 @@
 		t.layout.owners = owners
 		t.updateOwners()
 	}
-	t.note(LogConfiguration, string(t.settings.ID), fmt.Sprintf("version=%d", cfg.Version))
+	t.log(LogConfiguration, string(t.settings.ID), fmt.Sprintf("version=%d", cfg.Version))
 }
--- a/core/host/hub.go
+++ b/core/host/hub.go
@@ -58,7 +58,7 @@
 // isPrimaryOfAny reports whether this host is the primary hub of any live client.
 func (t *transition) isPrimaryOfAny() bool {
 	for _, c := range t.seeded.clients.All() {
-		if c.primary && c.live(t.now) {
+		if c.primary && c.isLive(t.now) {
 			return true
 		}
 	}
@@ -123,7 +123,7 @@
 		t.registry = t.registry.WithReport(w, t.now)
 	}
 	t.recordTable(t.config)
-	t.note(LogHub, string(t.settings.ID), "answers other hosts")
+	t.log(LogHub, string(t.settings.ID), "answers other hosts")
 }
 
 // hubReply adds to a reply what a hub reports in place of a leader.
@@ -167,7 +167,7 @@
 func (t *transition) groupReport() (hosts []hubs.Host, due bool) {
 	var names []string
 	for _, c := range t.seeded.clients.All() {
-		if c.primary && c.serves && c.live(t.now) {
+		if c.primary && c.serves && c.isLive(t.now) {
 			hosts = append(hosts, c.host)
 			names = append(names, string(c.host.Host), c.host.Relay)
 		}
--- a/core/host/inforce.go
+++ b/core/host/inforce.go
@@ -31,7 +31,7 @@
 // version held here.
 func (t *transition) recordLease(from ident.Host, m Poll) {
 	t.seeded.inForce = t.seeded.inForce.WithGrant(inforce.Grant{
-		From: from, Boot: m.Boot, OldestInForce: m.InForce, SentVersion: t.heldConfig().Version,
+		From: from, Boot: m.Boot, OldestInForce: m.InForce, SentVersion: t.currentConfig().Version,
 	}, t.now)
 }
 
@@ -72,8 +72,8 @@
 		return
 	}
 	t.seeded.inForce = t.releaseWritesOf(t.seeded.inForce, t.inForceSettings(), LogTableInForce)
-	if t.allReplicasKnowZones() {
-		t.seeded.zonesInForce = t.releaseWritesOf(t.seeded.zonesInForce, t.zonesSettings(), LogZoneOrderInForce)
+	if t.allReplicasSupportZones() {
+		t.seeded.zonesInForce = t.releaseWritesOf(t.seeded.zonesInForce, t.zonesInForceSettings(), LogZoneOrderInForce)
 	}
 }
 
@@ -84,7 +84,7 @@
 	}
 	next, released := state.ReleaseWrites(settings, t.inForceView(), t.now)
 	for _, a := range released {
-		t.note(kind, a.ID, fmt.Sprintf("version=%d after=%s waited_for=%s", a.Version, a.Delay, a.BlockedBy))
+		t.log(kind, a.ID, fmt.Sprintf("version=%d after=%s waited_for=%s", a.Version, a.Delay, a.BlockedBy))
 		if a.To == t.settings.ID {
 			t.handleWriteAnswered(a.ID, a.Result)
 			continue
@@ -109,7 +109,7 @@
 
 // awaitInForce waits until the table or the drained zones of a committed write are in force.
 func (t *transition) awaitInForce(p pendingWrite) {
-	ofZones := changesZone(p.write)
+	ofZones := isZoneOrder(p.write)
 	if p.inForce == 0 {
 		p.inForce = t.committedVersion(p.write)
 	}
@@ -131,7 +131,7 @@
 // committedVersion returns the version, as package inforce numbers it, that must be in force
 // before a committed write is answered.
 func (t *transition) committedVersion(w catalog.Write) config.Version {
-	if changesZone(w) {
+	if isZoneOrder(w) {
 		return zonesVersion(t.catalog.Zones.Revision)
 	}
 	return t.catalog.Config.Version
@@ -144,7 +144,7 @@
 
 // mustBeInForce reports whether a write is answered only once its change is in force.
 func (t *transition) mustBeInForce(w catalog.Write) bool {
-	return t.changesRouteTable(w) || changesZone(w)
+	return t.changesRouteTable(w) || isZoneOrder(w)
 }
 
 // changesRouteTable reports whether a write changes the route table of a seeded fleet.
--- a/core/host/polling.go
+++ b/core/host/polling.go
@@ -60,12 +60,12 @@
 
 // tickPolls sends polls if they are due.
 func (t *transition) tickPolls() {
-	if !t.settings.Serves || t.now.Before(t.seeded.pollAt) && !t.inForceReportDue() && !t.zonesReportDue() && !t.crashReportDue() {
+	if !t.settings.Serves || t.now.Before(t.seeded.pollAt) && !t.inForceReportDue() && !t.zonesReportDue() && !t.crashPollDue() {
 		return
 	}
 	t.seeded.pollAt = t.now.Add(t.pollInterval())
 	t.updateHubPollSet()
-	t.forgetCrashes()
+	t.expireCrashes()
 	hosts := t.hostsToPoll()
 	t.updateLeaderContact(hosts)
 	t.markLostContacts(hosts)
@@ -76,8 +76,8 @@
 		group, grouped = t.groupReport()
 	}
 	inForce, zonesInForce := t.inForceReport(), t.zonesReport()
-	t.noteAnswers()
-	replaced, crashed, answered := t.replacedReport(), t.crashReport(), t.answerEntries()
+	t.queueKnownAnswers()
+	replaced, crashed, answered := t.replacedReport(), t.crashReports(), t.answerEntries()
 	for _, h := range hosts {
 		m := t.buildPoll(h)
 		m.InForce, m.ZonesInForce, m.Replaced, m.Crashes = inForce, zonesInForce, replaced, crashed
@@ -148,7 +148,7 @@
 		if ok && !c.lost && t.now.Sub(c.lastReply) > replicaTimeout {
 			c.lost = true
 			t.seeded.contacts = t.seeded.contacts.With(h, c)
-			t.note(LogReplicaContact, string(h), "lost")
+			t.log(LogReplicaContact, string(h), "lost")
 		}
 	}
 }
--- a/core/host/registrations.go
+++ b/core/host/registrations.go
@@ -26,7 +26,7 @@
 	next, changed := t.registry.WithHeartbeat(w, t.now)
 	t.registry = next
 	if changed {
-		t.note(LogWorkerRegistration, string(w.ID), fmt.Sprintf("pool=%s state=%s seq=%d at=%s cold=%s born=%s before=%s",
+		t.log(LogWorkerRegistration, string(w.ID), fmt.Sprintf("pool=%s state=%s seq=%d at=%s cold=%s born=%s before=%s",
 			w.Pool, w.State, w.Seq, w.Address, w.Cold, w.Born, before.Born))
 	}
 }
@@ -36,7 +36,7 @@
 	next, changed := t.registry.WithGone(id, born, t.now)
 	t.registry = next
 	if changed {
-		t.note(LogWorkerRegistration, string(id), fmt.Sprintf("state=gone born=%s", born))
+		t.log(LogWorkerRegistration, string(id), fmt.Sprintf("state=gone born=%s", born))
 	}
 }
 
@@ -51,7 +51,7 @@
 		return err.Error()
 	}
 	if !t.isPoolKnown(w) {
-		return fmt.Sprintf("no service %.80q in route table %d", w.Pool, t.heldConfig().Version)
+		return fmt.Sprintf("no service %.80q in route table %d", w.Pool, t.currentConfig().Version)
 	}
 	return ""
 }
@@ -59,7 +59,7 @@
 // isPoolKnown reports whether the route table names a worker's pool, no table is held yet, or
 // the worker is registered with that pool.
 func (t *transition) isPoolKnown(w registry.Worker) bool {
-	table := t.heldConfig().Gateway
+	table := t.currentConfig().Gateway
 	if table.Number == 0 {
 		return true
 	}
@@ -80,7 +80,7 @@
 // rejectHeartbeat counts and logs an invalid heartbeat.
 func (t *transition) rejectHeartbeat(id ident.Target, reason string) {
 	t.counters.HeartbeatsInvalid++
-	t.note(LogWorkerRegistration, fmt.Sprintf("%.80q", id), "heartbeat not taken: "+reason)
+	t.log(LogWorkerRegistration, fmt.Sprintf("%.80q", id), "heartbeat not taken: "+reason)
 }
 
 // tickRegistry scans all registrations and clients, on a replica. It expires silent workers and
@@ -96,7 +96,7 @@
 	}
 	t.registry, _ = t.registry.Expire(timeout, t.now)
 	t.expireLeases()
-	t.forgetCrashes()
+	t.expireCrashes()
 	hosts := t.liveEntryHosts()
 	t.selectHubs(hosts)
 	t.selectFallbackPeers(hosts)
--- a/core/host/replica.go
+++ b/core/host/replica.go
@@ -62,10 +62,10 @@
 	}
 	t.leader = e.Leader
 	// Forwarded writes of an older term may be lost. Their origins resend them.
-	t.origins = table.Table[string, ident.Host]{}
+	t.writeOrigins = table.Table[string, ident.Host]{}
 	t.seeded.inForce = t.seeded.inForce.WithoutPendingWrites()
 	t.seeded.zonesInForce = t.seeded.zonesInForce.WithoutPendingWrites()
-	t.note(LogReplicaRole, string(t.settings.ID), fmt.Sprintf("%s term=%d leader=%s", e.Role, e.Term, e.Leader))
+	t.log(LogReplicaRole, string(t.settings.ID), fmt.Sprintf("%s term=%d leader=%s", e.Role, e.Term, e.Leader))
 }
 
 func (t *transition) applyEntries(entries []raft.Entry) {
@@ -87,7 +87,7 @@
 		if tableNumber > 0 && t.catalog.Config.Gateway.Number != tableNumber {
 			t.seeded.inForce = t.seeded.inForce.WithCommit(t.now)
 		}
-		t.zonesCommitted(zonesBefore)
+		t.recordZoneCommit(zonesBefore)
 		t.answerAppliedWrite(w, r)
 	}
 	if t.catalog.Config.Version != before {
@@ -101,12 +101,12 @@
 // answerAppliedWrite answers a write that was applied. If the write must be in force first, the
 // answer is held until then.
 func (t *transition) answerAppliedWrite(w catalog.Write, r catalog.Result) {
-	origin, forwarded := t.origins.Get(w.ID)
-	t.origins = t.origins.Without(w.ID)
+	origin, forwarded := t.writeOrigins.Get(w.ID)
+	t.writeOrigins = t.writeOrigins.Without(w.ID)
 	p, isOwn := t.writes.Get(w.ID)
 	switch {
 	case r.Code == catalog.OK && t.mustBeInForce(w) && forwarded:
-		t.holdWrite(inforce.PendingWrite{ID: w.ID, To: origin, Version: t.committedVersion(w), Result: r}, changesZone(w))
+		t.holdWrite(inforce.PendingWrite{ID: w.ID, To: origin, Version: t.committedVersion(w), Result: r}, isZoneOrder(w))
 	case r.Code == catalog.OK && t.mustBeInForce(w) && isOwn:
 		t.awaitInForce(p)
 	case forwarded:
@@ -123,10 +123,10 @@
 	}
 	zonesBefore := t.catalog.Zones.Revision
 	t.catalog, t.applied = c, s.Index
-	t.zonesCommitted(zonesBefore)
+	t.recordZoneCommit(zonesBefore)
 	t.seeded.inForce = t.seeded.inForce.WithCommit(t.now)
 	t.applyConfig(c.Config)
-	t.note(LogStateRestored, string(t.settings.ID), fmt.Sprintf("index=%d version=%d", s.Index, c.Config.Version))
+	t.log(LogStateRestored, string(t.settings.ID), fmt.Sprintf("index=%d version=%d", s.Index, c.Config.Version))
 }
 
 const (
--- a/core/host/seeded.go
+++ b/core/host/seeded.go
@@ -104,7 +104,7 @@
 func (t *transition) updateReady() {
 	isReady := t.requests.Ready(t.now, t.notReadyMargin())
 	if isReady != t.ready {
-		t.note(LogReady, string(t.settings.ID), fmt.Sprintf("ready=%t version=%d gateway=%d", isReady, t.config.Version, t.requests.TableNumber()))
+		t.log(LogReady, string(t.settings.ID), fmt.Sprintf("ready=%t version=%d gateway=%d", isReady, t.config.Version, t.requests.TableNumber()))
 	}
 	t.ready = isReady
 }
@@ -129,12 +129,12 @@
 	for _, d := range decisions {
 		switch d := d.(type) {
 		case requests.WorkerChanged:
-			t.note(LogWorkerRegistration, string(d.Worker.ID), fmt.Sprintf("usable=%t state=%s seq=%d born=%s at=%s failures=%d why=%q",
+			t.log(LogWorkerRegistration, string(d.Worker.ID), fmt.Sprintf("usable=%t state=%s seq=%d born=%s at=%s failures=%d why=%q",
 				d.Healthy, d.Worker.State, d.Worker.Seq, d.Worker.Born, d.Worker.Address, d.Failures, d.Reason))
 		case requests.WorkerCrashed:
-			t.note(LogWorkerRegistration, string(d.Worker), fmt.Sprintf("ended under %d requests of this host", d.Requests))
+			t.log(LogWorkerRegistration, string(d.Worker), fmt.Sprintf("ended under %d requests of this host", d.Requests))
 		case requests.ZoneChanged:
-			t.note(LogZoneContact, string(d.Zone), fmt.Sprintf("reached=%t others=%t missed=%s", d.Reachable, d.AllOthers, d.LastFailed))
+			t.log(LogZoneContact, string(d.Zone), fmt.Sprintf("reached=%t others=%t missed=%s", d.Reachable, d.AllOthers, d.LastFailed))
 		default:
 			t.emit(RequestDecision{Decision: d})
 		}
--- a/core/host/seeded_test.go
+++ b/core/host/seeded_test.go
@@ -235,7 +235,7 @@
 
 func (f *seededFleet) deliver(p seededPacket) {
 	if f.earlierHosts[p.from] || f.earlierHosts[p.to] {
-		p.message = ofEarlierProgram(p.message)
+		p.message = asEarlierVersion(p.message)
 	}
 	if f.onDeliver != nil {
 		f.onDeliver(p)
--- a/core/host/tables.go
+++ b/core/host/tables.go
@@ -27,7 +27,7 @@
 // packedTable returns the packed delta from the table of a version to the newest one, or with
 // base 0 the whole table.
 func (t *transition) packedTable(from config.Version) (record []byte, base config.Version) {
-	newest := t.heldConfig().Gateway
+	newest := t.currentConfig().Gateway
 	old, ok := t.seeded.recentTables.Get(from)
 	if !ok || old.Number == 0 {
 		from = 0
--- a/core/host/write.go
+++ b/core/host/write.go
@@ -42,7 +42,7 @@
 // submit sends a write to the leader until it is answered or its deadline passes.
 func (t *transition) submit(w catalog.Write, deadline time.Time) {
 	t.counters.Writes++
-	t.sendWrite(pendingWrite{write: t.withSeen(w), deadline: deadline})
+	t.sendWrite(pendingWrite{write: t.withSeenRevision(w), deadline: deadline})
 }
 
 // isSuperseded reports whether a write is a valid route table whose number does not exceed that
@@ -149,17 +149,17 @@
 	if t.raft.Role() != raft.Leader {
 		return
 	}
-	if origin, ok := t.origins.Get(m.ID); ok && origin == from {
+	if origin, ok := t.writeOrigins.Get(m.ID); ok && origin == from {
 		return
 	}
 	w, err := catalog.DecodeWrite(m.Packed)
 	if err != nil {
-		t.note(LogStateRestored, m.ID, "a forwarded write cannot be read: "+err.Error())
+		t.log(LogStateRestored, m.ID, "a forwarded write cannot be read: "+err.Error())
 		return
 	}
-	t.origins = t.origins.With(w.ID, from)
+	t.writeOrigins = t.writeOrigins.With(w.ID, from)
 	if !t.propose(w) {
-		t.origins = t.origins.Without(w.ID)
+		t.writeOrigins = t.writeOrigins.Without(w.ID)
 	}
 }
 
@@ -168,7 +168,7 @@
 	if !ok {
 		return
 	}
-	if ofEarlierProgram(p, r) {
+	if isFromEarlierVersion(p, r) {
 		return
 	}
 	if r.Code == catalog.BaseMoved {
@@ -183,11 +183,11 @@
 // out.
 func (t *transition) completeWrite(id string, result catalog.Result, known bool) {
 	if request, ok := strings.CutPrefix(id, "claim/"); ok {
-		t.claimAnswered(ident.Request(request), result, known)
+		t.handleClaimResult(ident.Request(request), result, known)
 		return
 	}
 	if strings.HasPrefix(id, "end/") || strings.HasPrefix(id, "auto/") {
-		t.autoDone(id, result, known)
+		t.handleOwnWriteResult(id, result, known)
 		return
 	}
 	t.emit(AnswerWrite{ID: id, Result: result, Known: known})
