--- a/core/host/inforce.go
+++ b/core/host/inforce.go
@@ -143,12 +143,10 @@
 }
 
 // mustBeInForce reports whether a write is answered only once its change is in force.
-func (t *transition) mustBeInForce(w catalog.Write) bool {
-	return t.changesRouteTable(w) || isZoneOrder(w)
-}
+func (t *transition) mustBeInForce(w catalog.Write) bool { return t.changesTable(w) || isZoneOrder(w) }
 
-// changesRouteTable reports whether a write changes the route table of a seeded fleet.
-func (t *transition) changesRouteTable(w catalog.Write) bool {
+// changesTable reports whether a write changes the route table of a seeded fleet.
+func (t *transition) changesTable(w catalog.Write) bool {
 	edit, _ := w.Command.(catalog.Edit)
 	switch edit.Change.(type) {
 	case config.PutRouteTable, config.PatchRouteTable:
