--- a/core/requests/admit.go
+++ b/core/requests/admit.go
@@ -10,26 +10,25 @@
 	"github.com/yardhall/yardhall/core/outcome"
 )
 
-// A request is admitted where a route takes its host and path, its key is known or not
-// needed, and its deadline lies ahead. Whether a refusal is final depends on the lease: a
-// host whose table is surely the newest says so for good, any other one sends the caller
-// to another host at once, as a newer table may say otherwise. What needs no key is served
-// without a valid lease too, but never by a table that is known to have been replaced.
+// A request is admitted if a route matches its host and path, its key is valid or not needed, and
+// its deadline has not passed. Whether a refusal is final depends on the lease: with a valid
+// lease the table is the newest, so an unknown route or key is refused permanently; otherwise a
+// newer table may differ, and the caller is sent to another host. Requests that need no key are
+// also served without a valid lease, unless the table is known to be superseded.
 //
-// Inputs: the route table and whether its lease is valid, the caller's key and deadline.
+// Inputs: the route table, its lease, the caller's key and deadline.
 
 const (
-	// retryAfter is the advice to callers where something may be repaired soon. Chosen,
-	// not measured.
+	// retryAfter is the advice to callers when the condition may clear soon.
 	retryAfter = 300 * time.Millisecond
-	// retryAfterElsewhere is the same where another host can take the request now; just
-	// long enough for the caller to open another connection. Chosen, not measured.
+	// retryAfterElsewhere is the advice when another host can serve the request: just enough time
+	// to open another connection.
 	retryAfterElsewhere = 20 * time.Millisecond
 )
 
-// arrive admits a request and sends it to its first worker, lets it wait for this host
-// to start, or refuses it.
-func (t *transition) arrive(r Request) {
+// handleArrival refuses a request, queues it until this host has started, or admits and
+// dispatches it.
+func (t *transition) handleArrival(r Request) {
 	t.counters.Requests++
 	if t.closing {
 		t.refuseForOtherHost(r.ID, CodeDraining, "this host is being stopped")
@@ -39,46 +38,47 @@
 		t.refuseDuplicate(r.ID)
 		return
 	}
-	if t.waitForStart(r) {
+	if t.deferUntilStarted(r) {
 		return
 	}
 	t.probeZones(r)
-	t.decide(r, t.now)
+	t.admitAndDispatch(r, t.now)
 }
 
-// decide refuses a request that arrived at a time, or sends it to its first worker.
-func (t *transition) decide(r Request, arrived time.Time) {
-	if t.number == 0 {
+// admitAndDispatch refuses a request or sends it to its first worker.
+func (t *transition) admitAndDispatch(r Request, arrived time.Time) {
+	if t.tableNumber == 0 {
 		t.refuse(r.ID, CodeNotReady, "this host has no route table yet", retryAfter)
 		return
 	}
-	c := call{req: r, arrived: arrived, combined: outcome.NotRun}
+	c := call{req: r, arrived: arrived, combinedOutcome: outcome.NotRun}
 	if !t.admit(&c) {
 		return
 	}
-	if t.isRefused(c) {
-		t.finish(r.ID, t.crashVerdict(c))
+	if t.isBlockedForCrashes(c) {
+		t.finish(r.ID, t.crashVerdictFor(c))
 		return
 	}
-	t.earnRetries(c.pool.ID)
+	t.creditRetries(c.pool.ID)
 	t.dispatch(c, Verdict{Code: CodeNoWorker, Reason: "no worker is known"})
 }
 
-// admit resolves route, account, pool and deadline, or refuses the request.
+// admit resolves route, account, pool and deadline of a request. It reports false after refusing
+// it.
 func (t *transition) admit(c *call) bool {
 	valid := t.LeaseValid(t.now)
-	route, ok := t.index.Route(c.req.Host, c.req.Path)
+	route, ok := t.routes.Route(c.req.Host, c.req.Path)
 	if !ok {
-		t.refuseByTable(c.req.ID, valid, CodeNoRoute, "no route for host and path")
+		t.refuseIfLeaseValid(c.req.ID, valid, CodeNoRoute, "no route for host and path")
 		return false
 	}
 	c.route, c.rank = route, route.Rank
-	owner, known := t.index.KeyOwner(c.req.KeyHash)
-	if !known && !route.Public && t.index.Keyed() {
-		t.refuseByTable(c.req.ID, valid, CodeBadKey, "the API key is not known")
+	owner, known := t.routes.KeyOwner(c.req.KeyHash)
+	if !known && !route.Public && t.routes.Keyed() {
+		t.refuseIfLeaseValid(c.req.ID, valid, CodeBadKey, "the API key is not known")
 		return false
 	}
-	needsLease := t.newerKnown || known && !route.Public
+	needsLease := t.newerTableKnown || known && !route.Public
 	if !valid && needsLease {
 		t.refuseStale(c.req.ID)
 		return false
@@ -92,12 +92,13 @@
 	if len(c.req.Digest) > 0 {
 		c.content = crashes.ContentOf(string(c.account), c.req.Digest)
 	}
-	c.pool, _ = t.index.Pool(poolOf(*c))
-	return t.admitDeadline(c)
+	c.pool, _ = t.routes.Pool(pickPool(*c))
+	return t.resolveDeadline(c)
 }
 
-// admitDeadline bounds the request by the route's timeout.
-func (t *transition) admitDeadline(c *call) bool {
+// resolveDeadline limits the request's deadline to the route's timeout. It reports false after
+// refusing a request whose deadline has passed.
+func (t *transition) resolveDeadline(c *call) bool {
 	limit := t.now.Add(time.Duration(c.route.Timeout))
 	if c.req.Deadline.IsZero() || c.req.Deadline.After(limit) {
 		c.req.Deadline = limit
@@ -109,8 +110,8 @@
 	return true
 }
 
-// poolOf picks the pool that takes the request, by the route's weights.
-func poolOf(c call) ident.Service {
+// pickPool picks one of the route's pools by weight, deterministically by the request's id.
+func pickPool(c call) ident.Service {
 	shares := c.route.Shares
 	if len(shares) == 1 {
 		return shares[0].Pool
@@ -129,21 +130,20 @@
 	return shares[0].Pool
 }
 
-// refuse ends a request before any worker was called. after is when the caller may come
-// back; 0 gives no advice.
+// refuse ends a request that was sent to no worker. after is the Retry-After advice; 0 for none.
 func (t *transition) refuse(id ident.Request, code Code, reason string, after time.Duration) {
 	t.finish(id, Verdict{Outcome: outcome.NotRun, Code: code, Reason: reason, RetryAfter: after})
 }
 
-// refuseForOtherHost does the same where another host likely takes the request.
+// refuseForOtherHost refuses a request that another host can likely serve.
 func (t *transition) refuseForOtherHost(id ident.Request, code Code, reason string) {
 	t.finish(id, Verdict{
 		Outcome: outcome.NotRun, Code: code, Reason: reason, RetryAfter: retryAfterElsewhere, TryOtherHost: true,
 	})
 }
 
-// refuseByTable refuses for good where the lease is valid, and for the moment otherwise.
-func (t *transition) refuseByTable(id ident.Request, leaseValid bool, code Code, reason string) {
+// refuseIfLeaseValid refuses a request permanently if the lease is valid, and as stale otherwise.
+func (t *transition) refuseIfLeaseValid(id ident.Request, leaseValid bool, code Code, reason string) {
 	if !leaseValid {
 		t.refuseStale(id)
 		return
@@ -151,13 +151,13 @@
 	t.refuse(id, code, reason, 0)
 }
 
-// refuseStale refuses a request because nothing has confirmed the table in time.
+// refuseStale refuses a request because the route table was not confirmed in time.
 func (t *transition) refuseStale(id ident.Request) {
 	t.counters.Stale++
 	t.refuseForOtherHost(id, CodeStale, "the configuration was not confirmed in time")
 }
 
-// refuseDuplicate ends a second request under an id in use; the first goes on.
+// refuseDuplicate ends a second request under an id in use; the first one continues.
 func (t *transition) refuseDuplicate(id ident.Request) {
 	t.counters.Refused++
 	t.out = append(t.out, Finish{Request: id, Verdict: Verdict{
--- a/core/requests/attempt.go
+++ b/core/requests/attempt.go
@@ -6,70 +6,70 @@
 	"github.com/yardhall/yardhall/core/outcome"
 )
 
-// After an attempt the request is answered, sent to another worker, or given up:
+// After an attempt the request is answered, sent to another worker, or ended:
 //
-//	how it ended              the request goes on where
+//	how the attempt ended     the request is sent to another worker if
 //	answered                  the answer is a server error and the route is repeatable
-//	never sent                fewer than maxConnects connections have failed
-//	declined                  attempts and budget allow it; else see resend.go
-//	broken                    the route is repeatable, and attempts and budget allow it
+//	never sent                fewer than maxConnectFailures connections have failed
+//	declined                  attempts and retry budget allow it; else see resend.go
+//	interrupted               the route is repeatable, and attempts and retry budget allow it
 //	abandoned                 never
 //
-// and nowhere where workers end under it (crashes.go).
+// Requests that crash workers are sent to none (crashes.go).
 //
-// So a request that must not run twice goes on only where it is proved that no worker ran
-// it: it was never sent, or declined. The caller's outcome joins those of all attempts.
+// Invariant: a request that must run at most once is sent again only if it is proved that no
+// worker ran it, as it was never sent or was declined. The outcome reported to the caller
+// combines those of all attempts.
 
-// serverError is the lowest status by which a worker says that it failed (RFC 9110, 15.6).
+// serverError is the lowest status of a server error (RFC 9110, 15.6).
 const serverError = 500
 
-// attemptEnded decides what follows an attempt.
-func (t *transition) attemptEnded(ev AttemptEnded) {
+// handleAttemptEnd records the result of an attempt and decides what follows.
+func (t *transition) handleAttemptEnd(ev AttemptEnded) {
 	c, ok := t.calls.Get(ev.Request)
 	if !ok || c.attempt != ev.Attempt {
 		return
 	}
-	t.endInFlight(c)
-	t.learnHealth(c, ev.Result)
-	c.combined = outcome.Combine(c.combined, outcome.Of(ev.Result))
+	t.removeInFlight(c)
+	t.updateHealth(c, ev.Result)
+	c.combinedOutcome = outcome.Combine(c.combinedOutcome, outcome.Of(ev.Result))
 	if !ev.CallerWaiting {
-		t.finish(c.req.ID, Verdict{Outcome: c.combined, Code: CodeCallerGone, Reason: "the caller left"})
+		t.finish(c.req.ID, Verdict{Outcome: c.combinedOutcome, Code: CodeCallerGone, Reason: "the caller left"})
 		return
 	}
 	switch r := ev.Result.(type) {
 	case outcome.Answered:
-		t.answered(c, r)
+		t.afterAnswer(c, r)
 	case outcome.NeverSent:
 		if r.ConnectRefused {
-			t.connectionRefused(c.target)
+			t.recordConnectionRefused(c.target)
 		}
-		t.neverSent(c, r)
+		t.afterConnectFailure(c, r)
 	case outcome.Declined:
-		t.declined(c, r)
+		t.afterDecline(c, r)
 	case outcome.Interrupted:
-		t.broken(c, r)
+		t.afterInterruption(c, r)
 	case outcome.Abandoned:
-		t.finish(c.req.ID, Verdict{Outcome: c.combined, Code: CodeCallerGone, Reason: "the caller left"})
+		t.finish(c.req.ID, Verdict{Outcome: c.combinedOutcome, Code: CodeCallerGone, Reason: "the caller left"})
 	}
 }
 
-// answered delivers the answer, or tries another worker where this one failed and the
-// request may run again.
-func (t *transition) answered(c call, r outcome.Answered) {
-	c.sent++
-	t.answeredAfterAll(c, r)
+// afterAnswer delivers the answer, or retries a server error if the request is repeatable.
+func (t *transition) afterAnswer(c call, r outcome.Answered) {
+	c.reachedWorkers++
+	t.recordAnswer(c, r)
 	v := Verdict{Outcome: outcome.Ran, Code: CodeOK}
 	if r.Status >= serverError && c.route.Repeatable() && t.mayRetry(c) {
-		t.retry(c.withCacheHolder(), v)
+		t.retry(c.withCacheSource(), v)
 		return
 	}
 	t.finish(c.req.ID, v)
 }
 
-// neverSent tries another worker; nothing has been sent, so no budget is charged.
-func (t *transition) neverSent(c call, r outcome.NeverSent) {
-	v := Verdict{Outcome: c.combined, Code: CodeNoWorker, Reason: "the worker could not be reached: " + r.Reason}
-	if c.connectsUsedUp() {
+// afterConnectFailure tries another worker. Nothing was sent, so the retry budget is not charged.
+func (t *transition) afterConnectFailure(c call, r outcome.NeverSent) {
+	v := Verdict{Outcome: c.combinedOutcome, Code: CodeNoWorker, Reason: "the worker could not be reached: " + r.Reason}
+	if c.connectFailuresExceeded() {
 		v.RetryAfter = retryAfter
 		t.finish(c.req.ID, v)
 		return
@@ -77,41 +77,41 @@
 	t.dispatch(c, v)
 }
 
-// declined tries another worker or, where none is allowed, the same one again.
-func (t *transition) declined(c call, r outcome.Declined) {
+// afterDecline tries another worker or, if none is allowed, resends to the same one.
+func (t *transition) afterDecline(c call, r outcome.Declined) {
 	t.counters.Declined++
 	if r.Leaving {
-		// Another process answers at the address.
-		t.processEnded(c.target, c.life)
+		// Another process has the address.
+		t.recordProcessEnd(c.target, c.incarnation)
 	} else {
-		c.sent++
+		c.reachedWorkers++
 	}
-	v := Verdict{Outcome: c.combined, Code: CodeOverloaded, Reason: "the worker declined: " + r.Reason}
+	v := Verdict{Outcome: c.combinedOutcome, Code: CodeOverloaded, Reason: "the worker declined: " + r.Reason}
 	if t.mayRetry(c) {
-		t.retry(c.withCacheHolder(), v)
+		t.retry(c.withCacheSource(), v)
 		return
 	}
-	if !r.Leaving && t.resend(c) {
+	if !r.Leaving && t.pauseForResend(c) {
 		return
 	}
 	t.finishDeclined(c, v)
 }
 
-// finishDeclined ends a call that a worker declined and that goes nowhere else.
+// finishDeclined ends a call that a worker declined and that is not sent again.
 func (t *transition) finishDeclined(c call, v Verdict) {
-	v.Outcome = c.combined
+	v.Outcome = c.combinedOutcome
 	if v.Outcome == outcome.NotRun {
 		v.RetryAfter = t.retryAfterDecline(c)
 	}
 	t.finish(c.req.ID, v)
 }
 
-// broken tries another worker where the request may run again.
-func (t *transition) broken(c call, r outcome.Interrupted) {
-	c.sent++
-	t.attemptBroke(c, r)
-	v := Verdict{Outcome: c.combined, Code: CodeBroken, Reason: "the worker's answer broke off: " + r.Reason}
-	if !c.route.Repeatable() || !c.paid && !t.mayRetry(c) {
+// afterInterruption tries another worker if the request is repeatable.
+func (t *transition) afterInterruption(c call, r outcome.Interrupted) {
+	c.reachedWorkers++
+	t.suspectCrash(c, r)
+	v := Verdict{Outcome: c.combinedOutcome, Code: CodeBroken, Reason: "the worker's answer broke off: " + r.Reason}
+	if !c.route.Repeatable() || !c.retryCharged && !t.mayRetry(c) {
 		t.finish(c.req.ID, v)
 		return
 	}
--- a/core/requests/cachesource.go
+++ b/core/requests/cachesource.go
@@ -9,46 +9,44 @@
 	"github.com/yardhall/yardhall/core/registry"
 )
 
-// An engine that lacks a prompt's prefix takes it over from the engine that most likely
-// holds it: the most preferred one, other than the engine picked, that can still give it.
-// That may be one that takes no new request, as it leaves or has just failed this one. If
-// the engine picked is itself the most preferred, it may be new, and the next in order has
-// the prefix.
+// An engine without a prompt's prefix copies it from the engine that most likely has it cached:
+// the first in the rendezvous order, other than the chosen engine, that can still serve it. That
+// engine may accept no new requests, because it is leaving or has just failed this request. If
+// the chosen engine is itself the first in the order, it may be new, and the next in the order
+// has the prefix.
 //
 // Inputs: the pool's workers, their health, and how this request's attempts ended.
-// Measured on nine simulated days: 0.76 of the worth served, 0.72 without taking prefixes
-// over, and 0.006 less where engines that leave are left out.
 
-// cacheSource is the address of the engine that most likely holds what a prompt shares;
-// empty for none.
+// cacheSource returns the address of the engine that most likely has the prompt's shared parts
+// cached; empty if there is none.
 func (t *transition) cacheSource(c call, picked worker) string {
-	key, best, top := prefixKey(c), "", uint64(0)
+	key, bestAddress, bestScore := prefixKey(c), "", uint64(0)
 	for id, w := range t.workers.All() {
-		if w.Pool != c.pool.ID || id == picked.ID || !t.canGiveCache(c, w) {
+		if w.Pool != c.pool.ID || id == picked.ID || !t.canServeCache(c, w) {
 			continue
 		}
-		if score := hash.Mix(key, w.key); best == "" || score > top {
-			best, top = w.Address, score
+		if score := hash.Mix(key, w.key); bestAddress == "" || score > bestScore {
+			bestAddress, bestScore = w.Address, score
 		}
 	}
-	return best
+	return bestAddress
 }
 
-// canGiveCache tells whether an engine is alive and reachable and, if this request tried
-// it, answered.
-func (t *transition) canGiveCache(c call, w worker) bool {
+// canServeCache reports whether an engine is alive and reachable and, if this request tried it,
+// answered.
+func (t *transition) canServeCache(c call, w worker) bool {
 	serving := w.State == registry.Ready || w.State == registry.Draining
-	if !serving || w.succeeded() || !w.mayHoldCache(t.now) || w.health.Ejected(t.now) || !t.reachable(w.Zone) {
+	if !serving || w.addressTaken() || !w.mayHaveCache(t.now) || w.health.Ejected(t.now) || !t.isZoneReachable(w.Zone) {
 		return false
 	}
-	return w.ID == c.cacheHolder || !slices.Contains(c.tried, w.ID)
+	return w.ID == c.cacheSource || !slices.Contains(c.tried, w.ID)
 }
 
-// withCacheHolder remembers the engine tried first, which has answered: it is alive and,
-// as it is the most preferred, likely holds what the prompt shares.
-func (c call) withCacheHolder() call {
-	if c.cacheHolder == "" && len(c.tried) == 1 {
-		c.cacheHolder = c.target
+// withCacheSource records the engine tried first, which has answered: it is alive and, as the
+// most preferred one, likely has the prompt's shared parts cached.
+func (c call) withCacheSource() call {
+	if c.cacheSource == "" && len(c.tried) == 1 {
+		c.cacheSource = c.target
 	}
 	return c
 }
--- a/core/requests/decision.go
+++ b/core/requests/decision.go
@@ -12,8 +12,8 @@
 	"github.com/yardhall/yardhall/core/registry"
 )
 
-// Decision is what becomes of a request next, or what this host has come to believe. The
-// set is closed.
+// Decision is what happens next to a request, or a change in this host's view of workers and
+// zones. The set is closed.
 type Decision interface{ decision() }
 
 type (
@@ -25,32 +25,30 @@
 		Route   config.Route
 		// Account is the caller's; empty on a public route.
 		Account ident.Account
-		// Content identifies the request among those that are the same.
+		// Content identifies requests with the same content.
 		Content crashes.Content
-		// Rank is the priority to tell the worker; 0 goes first.
+		// Rank is the priority passed to the worker; 0 is the most urgent.
 		Rank int
 		// Deadline ends the attempt and the request.
 		Deadline time.Time
-		// Engine is true where the worker runs batches.
+		// Engine is set if the worker runs batches.
 		Engine bool
-		// CacheFrom is the address of an engine that may hold the prompt's shared parts
-		// where Worker lacks them; empty for none.
+		// CacheFrom is the address of an engine that may have the prompt's shared parts cached if
+		// Worker does not; empty if there is none.
 		CacheFrom string
-		// HeaderTimeout is when a HeaderTimedOut is due without a response header,
-		// StallTimeout bounds the pause between events; 0 is up to the deadline.
+		// HeaderTimeout is when a HeaderTimedOut is due without a response header; StallTimeout
+		// bounds the pause between events. 0 means until the deadline.
 		HeaderTimeout time.Duration
 		StallTimeout  time.Duration
-		// Inputs are what decided.
-		Inputs Inputs
+		Inputs        Inputs
 	}
-	// Pause asks for a PauseEnded after a time, which yields the request's next decision.
+	// Pause asks for a PauseEnded after a time; that event yields the request's next decision.
 	Pause struct {
 		Request ident.Request
-		// Worker is where the request goes if nothing speaks against that by then.
-		Worker ident.Target
-		For    time.Duration
+		Worker  ident.Target
+		For     time.Duration
 	}
-	// Wait keeps a request until a later event yields its next decision.
+	// Wait queues a request; a later event yields its next decision.
 	Wait struct{ Request ident.Request }
 	// Finish ends a request.
 	Finish struct {
@@ -58,36 +56,37 @@
 		Verdict Verdict
 		Inputs  Inputs
 	}
-	// CancelAttempt ends the present attempt of a request, which goes to another worker then.
+	// CancelAttempt ends the current attempt of a request, which is then sent to another worker.
 	CancelAttempt struct{ Request ident.Request }
-	// AbortAttempt ends an attempt whose worker has ended since. It is reported as broken.
+	// AbortAttempt ends an attempt whose worker's process has ended. It is then reported as
+	// interrupted.
 	AbortAttempt struct {
 		Request ident.Request
 		Attempt int
 	}
-	// ProbeConnection asks for a connection to a worker that carries no request, and for
-	// a ProbeEnded that tells what came of it.
+	// ProbeConnection asks for a connection to a worker without a request, and for a ProbeEnded
+	// with the result.
 	ProbeConnection struct{ Worker registry.Worker }
-	// WorkerChanged tells, for the log, that this host's belief in a worker changed.
+	// WorkerChanged reports, for the log, a change in this host's view of a worker.
 	WorkerChanged struct {
 		Worker  registry.Worker
 		Healthy bool
-		// Failures is the row of failures that led to it; Why says what was seen.
+		// Failures is the number of consecutive failures; Reason is what caused the change.
 		Failures int
 		Reason   string
 	}
-	// WorkerCrashed tells, for the log, that a worker's process ended under Requests of this
-	// host.
+	// WorkerCrashed reports, for the log, that a worker's process ended while it ran Requests of
+	// this host.
 	WorkerCrashed struct {
 		Worker   ident.Target
 		Requests int
 	}
-	// ZoneChanged tells, for the log, that a zone became unreachable or reachable.
+	// ZoneChanged reports, for the log, that a zone became unreachable or reachable.
 	ZoneChanged struct {
 		Zone      ident.Zone
 		Reachable bool
-		// AllOthers is set where all other zones are unreachable as well; LastFailed is
-		// the worker that was one too many.
+		// AllOthers is set if all other zones are unreachable as well; LastFailed is the worker
+		// whose failure reached the threshold.
 		AllOthers  bool
 		LastFailed ident.Target
 	}
@@ -104,31 +103,31 @@
 func (WorkerCrashed) decision()   {}
 func (ZoneChanged) decision()     {}
 
-// Inputs are what a decision was made from, for the log.
+// Inputs are what a decision was based on, for the log.
 type Inputs struct {
-	// TableNumber is the route table's, ConfigAge the time since the table was confirmed;
-	// negative where it never was.
+	// TableNumber is the route table's number; ConfigAge is the time since the table was
+	// confirmed, negative if it never was.
 	TableNumber uint64
 	ConfigAge   time.Duration
-	// Load is the worker's, as estimated, in requests; LoadAge the age of the part that
-	// is of other hosts. Mean is the candidates' mean load.
+	// Load is the estimated load of the worker in requests; LoadAge is the age of the part
+	// reported by other hosts. MeanLoad is the mean load of the pool.
 	Load     int
 	LoadAge  time.Duration
 	MeanLoad float64
-	// Position is the worker's position in the order of preference, 0 for the first;
-	// Candidates is how many there were.
+	// Position is the worker's rank in the rendezvous order, 0 for the first; Candidates is the
+	// number of candidates.
 	Position   int
 	Candidates int
-	// Kind says how the attempt came about, LastResort that no worker was available.
+	// Kind is the reason for the attempt; LastResort is set if no worker was available.
 	Kind       AttemptKind
 	LastResort bool
-	// DeclinedAgo is the time since the worker last declined a request of this host,
-	// negative where it never did; BackoffLeft is what is left of its backoff.
+	// DeclinedAgo is the time since the worker last declined a request of this host, negative if
+	// it never did; BackoffLeft is the remaining time of its backoff.
 	DeclinedAgo time.Duration
 	BackoffLeft time.Duration
 }
 
-// AttemptKind says how an attempt came about.
+// AttemptKind is the reason for an attempt.
 type AttemptKind string
 
 // Kinds of attempts.
@@ -144,14 +143,14 @@
 	Outcome outcome.Kind
 	Code    Code
 	Reason  string
-	// RetryAfter is when the caller may come back; 0 is no advice.
+	// RetryAfter is when the caller may retry; 0 gives no advice.
 	RetryAfter time.Duration
-	// TryOtherHost is set where another host likely takes the request, and this one will
-	// not for a while: the caller's connection shall not bring it more.
+	// TryOtherHost is set if another host can likely serve the request and this one cannot for a
+	// while: the caller's connection should be closed.
 	TryOtherHost bool
 }
 
-// Code is the machine-readable part of a Verdict.
+// Code is the machine-readable reason of a Verdict.
 type Code string
 
 // Codes of a Verdict.
--- a/core/requests/dispatch.go
+++ b/core/requests/dispatch.go
@@ -11,7 +11,7 @@
 	"github.com/yardhall/yardhall/core/outcome"
 )
 
-// call is one request in progress.
+// call is a request in progress.
 type call struct {
 	req     Request
 	arrived time.Time
@@ -20,47 +20,46 @@
 	account ident.Account
 	content crashes.Content
 	rank    int
-	// attempt counts the attempts, sent those by which the request may have reached a
+	// attempt counts the attempts, reachedWorkers those by which the request may have reached a
 	// worker.
-	attempt int
-	sent    int
-	// target is the worker of the present attempt, tried are all so far.
+	attempt        int
+	reachedWorkers int
+	// target is the worker of the current attempt; tried holds the workers of all attempts.
 	target ident.Target
 	tried  []ident.Target
-	// life is the worker's at the present attempt; it grows where the worker starts again.
-	// sentAt is when the attempt is sent.
-	life   uint64
-	sentAt time.Time
-	// resends counts how often it was sent to the same worker once more; pausing is set while
-	// it waits for that, and is at no worker.
+	// incarnation is the worker's at the start of the attempt, sentAt the time of the attempt.
+	incarnation uint64
+	sentAt      time.Time
+	// resends counts the resends to the same worker; pausing is set during the pause before one,
+	// while the request is at no worker.
 	resends int
 	pausing bool
-	// cacheHolder is the first engine that answered without success; empty for none.
-	cacheHolder ident.Target
-	// paid is set where the retry budget has already been charged for the next attempt.
-	paid bool
-	// combined joins the outcomes of the attempts so far.
-	combined outcome.Kind
+	// cacheSource is the first engine tried, if it answered without success; empty otherwise.
+	cacheSource ident.Target
+	// retryCharged is set if the retry budget has already been charged for the next attempt.
+	retryCharged bool
+	// combinedOutcome combines the outcomes of the attempts so far.
+	combinedOutcome outcome.Kind
 }
 
-// dispatch sends the call to the best worker, or ends it with v where there is none.
+// dispatch sends the call to the best worker, or ends it with v if there is none.
 func (t *transition) dispatch(c call, v Verdict) {
-	if t.isRefused(c) {
-		t.finish(c.req.ID, t.crashVerdict(c))
+	if t.isBlockedForCrashes(c) {
+		t.finish(c.req.ID, t.crashVerdictFor(c))
 		return
 	}
-	picked, ok := t.choose(c)
+	picked, ok := t.chooseWorker(c)
 	switch {
 	case ok:
-	case t.onlyDrained(c):
+	case t.hasOnlyDrainedWorkers(c):
 		v.Code, v.Reason, v.RetryAfter = CodeDrained, "all workers of the service are in drained zones", retryAfterDrained
 	case picked.onlyCold && c.attempt == 0:
-		v.Code, v.Reason, v.RetryAfter = CodeOverloaded, "all workers of the service are cold, and have what they bear", retryAfterCold
-	case t.leastBackoff(c) > 0:
+		v.Code, v.Reason, v.RetryAfter = CodeOverloaded, "all workers of the service are cold and at their rate limit", retryAfterCold
+	case t.shortestBackoff(c) > 0:
 		v = t.backoffVerdict(c, v)
 	}
 	if !ok || !t.now.Before(c.req.Deadline) {
-		v.Outcome = c.combined
+		v.Outcome = c.combinedOutcome
 		if v.Outcome == outcome.NotRun && v.RetryAfter == 0 {
 			v.RetryAfter = retryAfter
 		}
@@ -77,32 +76,32 @@
 	t.send(c, picked)
 }
 
-// send begins the call's next attempt, at the worker picked.
+// send starts the call's next attempt at the chosen worker.
 func (t *transition) send(c call, picked choice) {
 	c.attempt++
-	c.life, c.sentAt = picked.worker.life, t.now
+	c.incarnation, c.sentAt = picked.worker.incarnation, t.now
 	t.addInFlight(picked.worker.ID)
-	t.noteColdSend(picked.worker, c.sentAt)
+	t.recordColdSend(picked.worker, c.sentAt)
 	t.calls = t.calls.With(c.req.ID, c)
 	header, stall := c.responseTimeouts()
 	t.out = append(t.out, Dispatch{
 		Request: c.req.ID, Attempt: c.attempt, Worker: picked.worker.Worker, Route: c.route,
 		Account: c.account, Content: c.content, Rank: c.rank, Deadline: c.req.Deadline, Engine: c.pool.Engine,
 		CacheFrom: picked.cacheFrom, HeaderTimeout: header, StallTimeout: stall,
-		Inputs: t.inputs(picked),
+		Inputs: t.decisionInputs(picked),
 	})
 }
 
-// inputs gathers what a decision is made from.
-func (t *transition) inputs(picked choice) Inputs {
+// decisionInputs collects the inputs of a decision for the log.
+func (t *transition) decisionInputs(picked choice) Inputs {
 	in := Inputs{
-		TableNumber: t.number, MeanLoad: picked.mean, Position: picked.position, Candidates: picked.candidates,
+		TableNumber: t.tableNumber, MeanLoad: picked.meanLoad, Position: picked.position, Candidates: picked.candidates,
 		Load: t.load(picked.worker, t.now), ConfigAge: neverConfirmed,
 	}
 	if !t.confirmed.IsZero() {
 		in.ConfigAge = t.confirmed.Age(t.now)
 	}
-	if _, asOf := t.othersLoad(picked.worker); !asOf.IsZero() {
+	if _, asOf := t.otherHostsLoad(picked.worker); !asOf.IsZero() {
 		in.LoadAge = t.now.Sub(asOf)
 	}
 	in.Kind, in.LastResort = picked.kind, picked.lastResort
@@ -113,32 +112,32 @@
 	return in
 }
 
-// neverConfirmed is the age of a table that was never confirmed, in logs.
+// neverConfirmed is the logged age of a route table that was never confirmed.
 const neverConfirmed = -time.Millisecond
 
-// neverDeclined is the age of a worker's last decline where there is none, in logs.
+// neverDeclined is the logged age of the last decline of a worker that never declined.
 const neverDeclined = -time.Millisecond
 
 // finish ends a request.
-func (t *transition) finish(id ident.Request, v Verdict) {
+func (t *transition) finish(id ident.Request, verdict Verdict) {
 	t.calls = t.calls.Without(id)
-	if v.Code != CodeOK {
+	if verdict.Code != CodeOK {
 		t.counters.Refused++
 	}
-	if v.Outcome == outcome.Unknown {
+	if verdict.Outcome == outcome.Unknown {
 		t.counters.Unknown++
 	}
-	t.out = append(t.out, Finish{Request: id, Verdict: v, Inputs: t.inputs(choice{})})
+	t.out = append(t.out, Finish{Request: id, Verdict: verdict, Inputs: t.decisionInputs(choice{})})
 }
 
-// expired ends a request whose time is over.
-func (t *transition) expired(id ident.Request) {
+// handleExpiry ends a request whose deadline has passed.
+func (t *transition) handleExpiry(id ident.Request) {
 	c, ok := t.calls.Get(id)
 	if !ok {
 		return
 	}
-	t.endInFlight(c)
+	t.removeInFlight(c)
 	t.finish(id, Verdict{
-		Outcome: outcome.Combine(c.combined, outcome.Unknown), Code: CodeDeadline, Reason: "the deadline has passed",
+		Outcome: outcome.Combine(c.combinedOutcome, outcome.Unknown), Code: CodeDeadline, Reason: "the deadline has passed",
 	})
 }
--- a/core/requests/drained.go
+++ b/core/requests/drained.go
@@ -10,81 +10,77 @@
 	"github.com/yardhall/yardhall/core/zones"
 )
 
-// The operators drain a zone by an order, after which nothing more may be sent to its workers
-// from ZoneDrain after the order's acknowledgement on. A host that learns of the order hands the
-// zone's work over within handoverPart of that time: more and more requests, drawn by their ids,
-// go elsewhere where they can, be it a first attempt, one after a failure or a pause, or a stream
-// that goes on. What is in progress there ends as it would. Engines of such a zone still give the
-// prefixes that they hold to others, as the prompts that they served now go elsewhere and would
+// Operators drain a zone with an order, after which nothing more may be sent to the zone's
+// workers once ZoneDrain has passed since the order's acknowledgement. A host that learns of the
+// order shifts the zone's traffic to other zones within shiftFraction of that time: an increasing
+// part of the requests, drawn by id, avoids the zone if possible, whether a first attempt, a
+// retry, a resend or a resumed stream. Requests in progress there continue. Engines of the zone
+// still serve their cached prefixes to others, as the prompts that used them move away and would
 // all be read again.
 //
-// All at once would load the others before any host knows how, and move all prefixes of the zone in
-// the same second.
+// Shifting all traffic at once would overload the other zones before hosts know each other's
+// loads, and move all prefixes of the zone in the same second.
 //
-// A pool whose other workers are missing, or have no slot left, is still served by workers of
-// the zone while the time lasts: its work moves over in seconds and not at once, and new
-// workers elsewhere have these seconds to come. After it, a request whose pool has workers in
-// drained zones only is refused at once: it has not run, and waiting at this host would not
-// change that.
+// If the other workers of a pool are missing or have no free slot, workers of the zone are used
+// until ZoneDrain has passed; new workers elsewhere have that time to start. After it, a request
+// whose pool has workers only in drained zones is refused at once as not run, as waiting would
+// not help.
 //
-// The time is counted from the last confirmation that this host had before it learned of the
-// order. At that moment the order was not given yet, so the count is never late, however long
-// the order was on its way.
+// ZoneDrain is counted from the last confirmation that this host had before it learned of the
+// order. The order had not been given at that time, so the host never stops too late, however
+// long the order took to arrive.
 //
-// Inputs: the drained zones and when they were learned of, confirmations, workers' zones,
-// loads and slots. Measured on a day on which two of three plain workers left while the zone
-// of the third was drained: see the design note on the shifted work.
+// Inputs: the drained zones and when they were learned of, confirmations, workers' zones, loads
+// and slots.
 
 const (
-	// drainMargin is kept from ZoneDrain for clocks that run at other rates, and for the path
-	// of a request from the decision to its worker, on links that nothing disturbs.
+	// drainMargin is subtracted from ZoneDrain to cover clock drift and the time between the
+	// decision and the arrival of a request at its worker.
 	drainMargin = 300 * time.Millisecond
-	// retryAfterDrained is the advice to callers where zones are drained: only an operator
-	// changes that, so nobody needs to come back as soon as after a failure. Chosen, not
-	// measured.
+	// retryAfterDrained is the advice to callers when all workers are in drained zones, which
+	// only an operator can change.
 	retryAfterDrained = time.Second
-	// handoverPart of ZoneDrain is the time in which a zone's work is handed over.
-	handoverPart = 0.4
+	// shiftFraction of ZoneDrain is the time in which a zone's traffic is shifted.
+	shiftFraction = 0.4
 )
 
 // WithDrainedZones returns the state of a host that has learned which zones are drained.
 func (s State) WithDrainedZones(d zones.Drained) State {
 	from := s.confirmed.AsOf.Add(s.settings.ZoneDrain - drainMargin)
-	for _, o := range d.OrdersSince(s.drained.Revision) {
-		s.drainedFrom = s.drainedFrom.Without(o.Zone)
+	for _, o := range d.OrdersSince(s.drainedZones.Revision) {
+		s.drainClosesAt = s.drainClosesAt.Without(o.Zone)
 		if o.Drained && !s.confirmed.IsZero() {
-			s.drainedFrom = s.drainedFrom.With(o.Zone, from)
+			s.drainClosesAt = s.drainClosesAt.With(o.Zone, from)
 		}
 	}
-	s.drained = d
+	s.drainedZones = d
 	return s
 }
 
-// ZoneDrain is the time after an order's acknowledgement in which a zone is drained.
+// ZoneDrain returns the time after a drain order's acknowledgement from which nothing more is
+// sent to the zone.
 func (s State) ZoneDrain() time.Duration { return s.settings.ZoneDrain }
 
-// closed tells whether nothing at all is sent to a zone any more.
-func (t *transition) closed(zone ident.Zone) bool {
-	if !t.drained.IsDrained(zone) {
+// isZoneClosed reports whether nothing at all may be sent to a zone.
+func (t *transition) isZoneClosed(zone ident.Zone) bool {
+	if !t.drainedZones.IsDrained(zone) {
 		return false
 	}
-	from, _ := t.drainedFrom.Get(zone)
+	from, _ := t.drainClosesAt.Get(zone)
 	return !t.now.Before(from)
 }
 
-// isHandedOver tells whether a call goes elsewhere, where it can, than to a zone that is being
-// drained.
-func (t *transition) isHandedOver(c call, zone ident.Zone) bool {
-	from, known := t.drainedFrom.Get(zone)
+// isShiftedAway reports whether a call avoids a zone that is being drained.
+func (t *transition) isShiftedAway(c call, zone ident.Zone) bool {
+	from, known := t.drainClosesAt.Get(zone)
 	if !known {
 		return true
 	}
 	elapsed := t.now.Sub(from.Add(drainMargin - t.settings.ZoneDrain))
-	return c.drawn() < elapsed.Seconds()/(handoverPart*t.settings.ZoneDrain.Seconds())
+	return c.drawFraction() < elapsed.Seconds()/(shiftFraction*t.settings.ZoneDrain.Seconds())
 }
 
-// withDraining adds workers of zones that are being drained where the others are missing or
-// have no slot left.
+// withDraining adds workers of zones being drained if there are no others with a free slot.
 func withDraining(others, draining []candidate) []candidate {
 	for _, w := range others {
 		if w.load < w.slots {
@@ -94,13 +90,14 @@
 	return append(others, draining...)
 }
 
-// onlyDrained tells whether a call that has not been sent has workers only in drained zones.
-func (t *transition) onlyDrained(c call) bool {
-	if c.attempt > 0 || t.drained.Revision == 0 {
+// hasOnlyDrainedWorkers reports whether a call that has not been sent has workers only in drained
+// zones.
+func (t *transition) hasOnlyDrainedWorkers(c call) bool {
+	if c.attempt > 0 || t.drainedZones.Revision == 0 {
 		return false
 	}
 	for _, w := range t.workers.All() {
-		if w.Pool == c.pool.ID && w.State == registry.Ready && t.drained.IsDrained(w.Zone) {
+		if w.Pool == c.pool.ID && w.State == registry.Ready && t.drainedZones.IsDrained(w.Zone) {
 			return true
 		}
 	}
--- a/core/requests/engine.go
+++ b/core/requests/engine.go
@@ -6,78 +6,68 @@
 	"github.com/yardhall/yardhall/core/hash"
 )
 
-// A prompt goes to the first engine, in the rendezvous order of its shared parts, that has
-// room for it; where there is none, to the least loaded one. All hosts rank alike, so a prefix
-// is read by few engines although hosts agree on nothing. An engine has room where
+// A prompt goes to the first engine with room in the rendezvous order of its shared parts, or
+// else to the least loaded one. All hosts compute the same order, so few engines read a given
+// prefix, without coordination. An engine has room if
 //
-//	usual load + 1 <= (LoadFactor x mean load of the candidates + LoadSlack) x (1 - headroom)
+//	smoothed load + 1 <= (LoadFactor x mean load of the candidates + LoadSlack) x (1 - headroom)
 //	latest load <= LoadFactor x mean load of the pool + LoadSlack
 //
-// The second is the bound on the fleet's mean: engines count in it that take nothing new, as
-// their zone is drained or they leave. The first keeps engines below it on the whole, by
-// loads that do not swing (load.go). Where some take nothing new the others usually have more,
-// so it goes by these: by the pool's mean most of them would seem full, and the few others
-// would get what all turn away.
+// The second is the bound on load relative to the fleet's mean, which includes engines that
+// accept nothing new, because their zone is drained or they are leaving. The first keeps engines
+// below that bound, by loads that do not oscillate (load.go). It uses the mean of the candidates:
+// by the pool's mean, most of them would seem full while part of the pool accepts nothing, and
+// the remaining few would get all the traffic. Near saturation, prompts with a cheap prefix
+// follow another rule (subset.go).
 //
-// Where engines are crowded, prompts that share little go by another rule: crowded.go.
+// Headroom is the fraction of the bound that a request leaves free, drawn from its id. Counts of
+// other hosts' requests are out of date, and the more hosts there are, the more of them may use
+// the same room at once; headroom makes them move away from a filling engine gradually. The more
+// tokens a request shares with others, the smaller its headroom, as a cached prefix saves it more
+// time. Prompts that share little thus make room for those that share much. A request that must
+// run at most once and shares little prefers engines in the host's zone; see prefersOwnZone.
 //
-// Headroom, drawn from the request's id, is what a request leaves free of the bound:
-// counts of other hosts' requests are a moment old, and the more hosts there are, the
-// more of them may take the same room at once. So hosts turn from a filling engine little
-// by little. The more tokens a request shares with others, the less it leaves: whoever
-// finds its prefix read has the first token a quarter of a second earlier where the prefix
-// is of ten thousand tokens, and ten milliseconds where it is of a few hundred. So what
-// shares little makes room for what shares much, and both stay under the bound. A request
-// that must not run twice and shares little prefers the engines of its host's zone; see
-// prefersOwnZone.
-//
-// Inputs: load estimates in requests (load.go), slots, the prompt's parts in tokens, how
-// many entry hosts there are. Measured on nine simulated days: 0.76 of the worth served
-// with this order, 0.49 without it; busiest engine over the mean 1.1 to 1.4.
+// Inputs: load estimates in requests (load.go), slots, the prompt's parts in tokens, and the
+// number of entry hosts.
 const (
-	// headroomPerHost, as a part of the bound, reaches maxHeadroom at 84 hosts: with as
-	// many hosts, whose counts were 0.6 s old, engines went over the bound without
-	// headroom, and none did with it.
+	// headroomPerHost, a fraction of the bound, reaches maxHeadroom at 84 hosts.
 	headroomPerHost = maxHeadroom / 84
-	// minHeadroom and maxHeadroom bound it. Chosen, not measured.
-	minHeadroom = 0.1
-	maxHeadroom = 0.7
-	// halfHeadroomTokens shared tokens halve the headroom: reading them takes an engine as
-	// long as some ten steps of a batch, which callers begin to notice.
+	minHeadroom     = 0.1
+	maxHeadroom     = 0.7
+	// halfHeadroomTokens is the number of shared tokens that halves the headroom.
 	halfHeadroomTokens = 2048
-	// maxSharedRatio is how many times the tokens that are the request's own its shared
-	// parts may have for it to prefer its host's zone: each zone then reads the shared
-	// parts for itself, which must not cost much more than the request. Chosen, not
-	// measured; the preference saves 0.43 in 100 requests from failing.
+	// maxSharedRatio is the largest ratio of shared tokens to the request's own tokens at which
+	// it prefers the host's zone: each zone then reads the shared parts separately, which must
+	// not cost much more than the request itself.
 	maxSharedRatio = 4
 )
 
 // chooseEngine picks an engine for a prompt.
-func (t *transition) chooseEngine(c call, found []candidate, mean float64) choice {
-	usualBound := t.fullBound(meanOf(found)) * (1 - t.headroom(c))
-	rank(found, prefixKey(c))
-	full := t.fullBound(mean)
+func (t *transition) chooseEngine(c call, candidates []candidate, mean float64) choice {
+	smoothedBound := t.loadBound(meanLoadOf(candidates)) * (1 - t.headroom(c))
+	scoreCandidates(candidates, prefixKey(c))
+	bound := t.loadBound(mean)
 	hasRoom := func(w candidate) bool {
-		return w.usual+1 <= usualBound && float64(w.load) <= full && w.load < w.slots
+		return w.smoothedLoad+1 <= smoothedBound && float64(w.load) <= bound && w.load < w.slots
 	}
-	at := -1
-	if isCrowded(meanOf(found), full) && sharesLittle(c) {
-		at = t.leastOfOwn(c, found)
+	index := -1
+	if isNearSaturation(meanLoadOf(candidates), bound) && hasCheapPrefix(c) {
+		index = t.leastLoadedInSubset(c, candidates)
 	}
-	if at < 0 && prefersOwnZone(c) {
-		at = first(found, func(w candidate) bool { return w.zone == t.settings.Zone && hasRoom(w) })
+	if index < 0 && prefersOwnZone(c) {
+		index = highestScored(candidates, func(w candidate) bool { return w.zone == t.settings.Zone && hasRoom(w) })
 	}
-	if at < 0 {
-		at = t.drawn(c, spread(found, mean, full), func(i int) bool { return hasRoom(found[i]) })
+	if index < 0 {
+		index = t.pickFromSpread(c, spreadSet(candidates, mean, bound), func(i int) bool { return hasRoom(candidates[i]) })
 	}
-	if at < 0 {
-		at = first(found, hasRoom)
+	if index < 0 {
+		index = highestScored(candidates, hasRoom)
 	}
-	if at < 0 {
-		at = leastLoaded(found)
+	if index < 0 {
+		index = leastLoaded(candidates)
 	}
-	picked := t.picked(found, at)
-	picked.mean = mean
+	picked := t.choiceOf(candidates, index)
+	picked.meanLoad = mean
 	if picked.position > 0 {
 		t.counters.Overflowed++
 	}
@@ -87,29 +77,29 @@
 	return picked
 }
 
-// meanOf is the mean load of some candidates.
-func meanOf(found []candidate) float64 {
+// meanLoadOf returns the mean load of the candidates.
+func meanLoadOf(candidates []candidate) float64 {
 	total := 0
-	for _, w := range found {
+	for _, w := range candidates {
 		total += w.load
 	}
-	return float64(total) / float64(len(found))
+	return float64(total) / float64(len(candidates))
 }
 
-// fullBound is the bound on an engine's load, without headroom.
-func (t *transition) fullBound(mean float64) float64 {
+// loadBound returns the bound on an engine's load, without headroom.
+func (t *transition) loadBound(mean float64) float64 {
 	return t.settings.LoadFactor*mean + t.settings.LoadSlack
 }
 
-// headroom is the part of the bound that a request leaves free.
+// headroom returns the fraction of the bound that a request leaves free.
 func (t *transition) headroom(c call) float64 {
-	most := min(max(minHeadroom, headroomPerHost*float64(t.hosts)), maxHeadroom)
-	most *= halfHeadroomTokens / float64(halfHeadroomTokens+c.req.Prompt.shared())
-	return most * float64(uint64(requestKey(c.req.ID))%percent) / percent
+	limit := min(max(minHeadroom, headroomPerHost*float64(t.hostCount)), maxHeadroom)
+	limit *= halfHeadroomTokens / float64(halfHeadroomTokens+c.req.Prompt.sharedTokens())
+	return limit * float64(uint64(requestKey(c.req.ID))%drawSteps) / drawSteps
 }
 
-// prefersOwnZone tells whether a request prefers the engines of its host's zone: one that
-// must not run twice is lost where its zone and the engine's lose each other.
+// prefersOwnZone reports whether a request prefers engines in its host's zone. A request that
+// must run at most once is lost in a partition between its host's zone and the engine's.
 func prefersOwnZone(c call) bool {
 	p := c.req.Prompt
 	if c.route.Repeatable() || len(p.Parts) == 0 {
@@ -133,14 +123,15 @@
 	return hash.Of(ids...)
 }
 
-// leastLoaded returns the index of the most preferred one of the least loaded candidates.
-func leastLoaded(found []candidate) int {
-	at := 0
-	for i, w := range found {
-		best := found[at]
-		if w.load < best.load || w.load == best.load && w.preference > best.preference {
-			at = i
+// leastLoaded returns the index of the least loaded candidate; the highest-scored one among
+// equals.
+func leastLoaded(candidates []candidate) int {
+	index := 0
+	for i, w := range candidates {
+		best := candidates[index]
+		if w.load < best.load || w.load == best.load && w.score > best.score {
+			index = i
 		}
 	}
-	return at
+	return index
 }
--- a/core/requests/event.go
+++ b/core/requests/event.go
@@ -12,73 +12,74 @@
 	"github.com/yardhall/yardhall/core/registry"
 )
 
-// Event is what a State reacts to. The set is closed.
+// Event is an input of Reduce. The set is closed.
 type Event interface{ event() }
 
 type (
 	// Arrived is a caller's request.
 	Arrived struct{ Request Request }
-	// HeaderReceived reports that an answer to an attempt has begun, and what the worker
-	// said of itself with it; a Load without Slots is no report.
+	// HeaderReceived reports the response header of an attempt, with what the worker reports
+	// about itself; a Load without Slots is no report.
 	HeaderReceived struct {
 		Request ident.Request
 		Attempt int
 		Worker  ident.Target
-		// Declined is set where the answer says that the request has not run.
+		// Declined is set if the response says that the request was not run.
 		Declined bool
 		Notice   Notice
 		Load     Load
-		// Route is the request's, Took the time since it was sent to the worker.
+		// Route is the name of the request's route; Took is the time since the request was sent
+		// to the worker.
 		Route string
 		Took  time.Duration
 	}
-	// HeaderTimedOut reports that no response header has come within the HeaderTimeout of a
-	// Dispatch. It yields a CancelAttempt where the request goes to another worker.
+	// HeaderTimedOut reports that no response header arrived within the HeaderTimeout of a
+	// Dispatch. It yields a CancelAttempt if the request can be sent to another worker.
 	HeaderTimedOut struct {
 		Request ident.Request
 		Attempt int
 		Waited  time.Duration
 	}
-	// AttemptEnded reports how an attempt at a worker ended.
+	// AttemptEnded reports how an attempt ended.
 	AttemptEnded struct {
 		Request ident.Request
 		Attempt int
 		Result  outcome.Attempt
-		// CallerWaiting is false where the caller has the answer or has left.
+		// CallerWaiting is false if the caller has the answer or has left.
 		CallerWaiting bool
 	}
 	// PauseEnded reports that the time of a Pause is over.
 	PauseEnded struct {
 		Request ident.Request
-		// CallerWaiting is false where the caller has left.
+		// CallerWaiting is false if the caller has left.
 		CallerWaiting bool
 	}
-	// Expired reports that a request's time is over.
+	// Expired reports that a request's deadline has passed.
 	Expired struct{ Request ident.Request }
-	// Registered are workers' registrations, as a replica or hub reports them.
+	// Registered carries registrations of workers, reported by a replica or hub.
 	Registered struct {
 		From    ident.Host
 		Workers []registry.Worker
 	}
-	// LoadsReported are the requests that other hosts have at workers, as of a time.
+	// LoadsReported carries the numbers of other hosts' requests at workers, as of a time.
 	LoadsReported struct {
 		Loads loads.Digest
 		AsOf  time.Time
 	}
-	// Confirmed reports that the route table held was the newest one, as of a time.
+	// Confirmed reports that the route table held was the newest one as of a time.
 	Confirmed struct{ confirmation.Confirmation }
-	// ProbeEnded reports whether the connection of a ProbeConnection came up.
+	// ProbeEnded reports whether the connection of a ProbeConnection was established.
 	ProbeEnded struct {
 		Worker ident.Target
 		OK     bool
-		// Refused is set where the connection was refused: no process listens there.
+		// Refused is set if the connection was refused: no process listens at the address.
 		Refused bool
 	}
-	// Withdrawn reports that the caller of a request that waits has left.
+	// Withdrawn reports that the caller of a waiting request has left.
 	Withdrawn struct{ Request ident.Request }
-	// Closing makes the host take no new requests, late in a planned stop.
+	// Closing stops the admission of new requests, late in a planned stop.
 	Closing struct{}
-	// Tick lets time pass for requests that wait.
+	// Tick advances time for waiting requests.
 	Tick struct{}
 )
 
@@ -96,38 +97,35 @@
 func (Closing) event()        {}
 func (Tick) event()           {}
 
-// Request is what the front door has read of a request.
+// Request is what the gateway has read of a request.
 type Request struct {
-	ID ident.Request
-	// Host and Path choose the route.
+	ID   ident.Request
 	Host string
 	Path string
-	// KeyHash is the hex SHA-256 of the caller's key; empty where none came.
+	// KeyHash is the hex SHA-256 of the caller's key; empty if there is none.
 	KeyHash string
-	// Deadline is when the caller stops waiting; zero where it did not say.
+	// Deadline is when the caller stops waiting; zero if it did not say.
 	Deadline time.Time
 	// Prompt describes a request to an engine; zero for plain services.
 	Prompt Prompt
-	// Resumed is set where the caller goes on with a stream that broke off.
+	// Resumed is set if the caller resumes an interrupted stream.
 	Resumed bool
-	// Digest is a cryptographic hash of method, host, path, query and body; empty where it
-	// is not known.
+	// Digest is a cryptographic hash of method, host, path, query and body; empty if unknown.
 	Digest []byte
 }
 
-// Prompt describes what an engine will read and make.
+// Prompt describes the input and output of a request to an engine, in tokens.
 type Prompt struct {
 	Model     ident.Model
 	TokensIn  int
 	TokensOut int
-	// Parts are the prompt's parts in order; the last belongs to the request
-	// or to its session.
+	// Parts are the prompt's parts in order; the last belongs to the request or its session.
 	Parts []Part
 }
 
-// shared is how many tokens of the prompt other requests may share: all but those of the
+// sharedTokens returns the number of tokens that other requests may share: all but those of the
 // last part.
-func (p Prompt) shared() int {
+func (p Prompt) sharedTokens() int {
 	tokens := 0
 	for _, part := range p.Parts[:max(0, len(p.Parts)-1)] {
 		tokens += part.Tokens
@@ -141,7 +139,7 @@
 	Tokens int
 }
 
-// Load is a worker's own report of how busy it is, in requests.
+// Load is a worker's own report of its load, in requests.
 type Load struct {
 	Running int
 	Waiting int
--- a/core/requests/headertimes.go
+++ b/core/requests/headertimes.go
@@ -4,32 +4,32 @@
 
 import "time"
 
-// Each host learns for each route how long answers take to begin, in the way in which
-// RFC 6298 estimates round-trip times: a smoothed time and a smoothed deviation. Pauses
-// before a resend follow it. Declines do not count: they come at once, and the pauses would shrink
-// where workers need them.
+// Each host estimates, per route, the time until answers begin, like the round-trip time estimate
+// of RFC 6298: a smoothed time and a smoothed deviation. The pauses before resends depend on it.
+// Declines are excluded: they come at once, and would shorten the pauses when workers are
+// overloaded.
 const (
-	// timeGain and deviationGain are the weights of a new time (RFC 6298: 1/8, 1/4).
+	// timeGain and deviationGain are the weights of a new sample (RFC 6298: 1/8 and 1/4).
 	timeGain      = 0.125
 	deviationGain = 0.25
-	// usualDeviations is how many deviations beyond the smoothed time most answers take
-	// at most. Chosen, not measured.
-	usualDeviations = 1
+	// deviationFactor is the number of deviations above the smoothed time within which most
+	// answers begin.
+	deviationFactor = 1
 )
 
-// headerTimes are how long the answers of one route take to begin, in seconds. The zero
-// value knows nothing.
-type headerTimes struct {
+// headerEstimate is the time until answers of one route begin, in seconds. The zero value has no
+// sample.
+type headerEstimate struct {
 	smoothed  float64
 	deviation float64
 	known     bool
 }
 
-// with adds one time.
-func (h headerTimes) with(d time.Duration) headerTimes {
+// withSample returns the estimate after one more sample.
+func (h headerEstimate) withSample(d time.Duration) headerEstimate {
 	s := d.Seconds()
 	if !h.known {
-		return headerTimes{smoothed: s, deviation: s / 2, known: true}
+		return headerEstimate{smoothed: s, deviation: s / 2, known: true}
 	}
 	off := s - h.smoothed
 	h.deviation += deviationGain * (max(off, -off) - h.deviation)
@@ -37,26 +37,26 @@
 	return h
 }
 
-// usual is the time within which most answers begin.
-func (h headerTimes) usual() time.Duration {
-	return time.Duration((h.smoothed + usualDeviations*h.deviation) * float64(time.Second))
+// expected returns the time within which most answers begin.
+func (h headerEstimate) expected() time.Duration {
+	return time.Duration((h.smoothed + deviationFactor*h.deviation) * float64(time.Second))
 }
 
-// learnHeaderTime takes the time until an answer began, or until it was no longer waited
-// for: without the latter only fast answers would count.
-func (t *transition) learnHeaderTime(route string, took time.Duration) {
+// recordHeaderTime adds the time until an answer began or its attempt timed out. Without the
+// timeouts, only fast answers would count.
+func (t *transition) recordHeaderTime(route string, took time.Duration) {
 	if took <= 0 {
 		return
 	}
-	h, _ := t.headerTimes.Get(route)
-	t.headerTimes = t.headerTimes.With(route, h.with(took))
+	h, _ := t.headerEstimates.Get(route)
+	t.headerEstimates = t.headerEstimates.With(route, h.withSample(took))
 }
 
-// withoutOldRoutes drops what is known of routes that are no longer in force.
-func (s State) withoutOldRoutes() State {
-	for name := range s.headerTimes.All() {
-		if !s.index.Named(name) {
-			s.headerTimes = s.headerTimes.Without(name)
+// withoutRemovedRoutes drops the estimates of routes that are not in the route table.
+func (s State) withoutRemovedRoutes() State {
+	for name := range s.headerEstimates.All() {
+		if !s.routes.Named(name) {
+			s.headerEstimates = s.headerEstimates.Without(name)
 		}
 	}
 	return s
--- a/core/requests/lease.go
+++ b/core/requests/lease.go
@@ -8,28 +8,28 @@
 	"github.com/yardhall/yardhall/core/confirmation"
 )
 
-// A host uses its route table for requests with a key for KeyLease after the as-of time of
-// its newest confirmation (package confirmation). So a key that was taken away stops working
-// everywhere within KeyLease, also at a host that is cut off. Chosen: a lease of 2 s would
-// refuse requests during each election, one of 4 s outlives them.
+// A host uses its route table for requests with a key for KeyLease after the as-of time of its
+// newest confirmation (package confirmation). A revoked key therefore stops working everywhere
+// within KeyLease, also on a host that is partitioned. The default outlives an election, so that
+// elections refuse no requests.
 //
 // Inputs: the newest confirmation, KeyLease, and the present time.
 
-// LeaseValid tells whether the table was confirmed recently enough for requests with a
+// LeaseValid reports whether the route table was confirmed recently enough for requests with a
 // key.
 func (s State) LeaseValid(now time.Time) bool {
-	return s.number > 0 && s.confirmed.Valid(s.settings.KeyLease, now)
+	return s.tableNumber > 0 && s.confirmed.Valid(s.settings.KeyLease, now)
 }
 
-// Ready tells whether new connections should come to this host at now: its lease stays
-// valid for at least notice more, which is the time that the balancer needs to stop
-// sending connections, and a host that starts knows the workers that it needs.
+// Ready reports whether the load balancer should send new connections to this host. The lease
+// must remain valid for at least notice, the time the balancer needs to stop sending connections,
+// and a starting host must know the workers that it needs.
 func (s State) Ready(now time.Time, notice time.Duration) bool {
 	return s.LeaseValid(now.Add(notice)) && (!s.Starting(now) || s.HasHealthyWorkers(now))
 }
 
-// KeyLease is how long a confirmation serves requests with a key.
+// KeyLease returns how long a confirmation remains valid for requests with a key.
 func (s State) KeyLease() time.Duration { return s.settings.KeyLease }
 
-// Confirmation says as of when the table held was surely the newest one.
+// Confirmation returns the latest confirmation that the route table held is the newest.
 func (s State) Confirmation() confirmation.Confirmation { return s.confirmed }
--- a/core/requests/load.go
+++ b/core/requests/load.go
@@ -10,79 +10,76 @@
 	"github.com/yardhall/yardhall/core/loads"
 )
 
-// A worker's load is this host's own requests there, counted exactly, and an estimate of
-// other hosts' requests: the worker's own report with an answer, or the sum of what hosts
-// reported, whichever is younger. An estimate that is too old counts nothing.
+// A worker's load is this host's own requests there, counted exactly, plus an estimate of other
+// hosts' requests: the worker's own report with an answer or the sum reported by hosts, whichever
+// is newer. An estimate older than reportTTL is ignored.
 //
-// Its usual load is the same with the other hosts' requests averaged over usualTime. What is
-// reported is a moment old, so hosts that all turn away from an engine by its latest count
-// turn back to it together: loads swing, and prefixes leave their engines for nothing. By the
-// usual load they leave it where it has too much, not where it had for a moment.
+// The smoothed load averages the other hosts' requests over smoothingTime. Reports are out of
+// date, so hosts that all leave an engine by its latest count return to it together: loads
+// oscillate, and prefixes move between engines without need. By the smoothed load they leave an
+// engine only if its load stays high.
 //
 // Inputs: counts in requests with their as-of times.
 
-// reportLifetime is how long an estimate of other hosts' requests counts. Chosen, not
-// measured: ten times the 0.3 s between two reports of loads.
-const reportLifetime = 3 * time.Second
+// reportTTL is how long an estimate of other hosts' requests is used.
+const reportTTL = 3 * time.Second
 
-// usualTime is the time constant of the average: several times the age of reports. Measured by
-// simulated fleets of 72 and 295 hosts, two seeds: with 3 s, long prompts moved 0.039 of all
-// tokens instead of 0.054, and 0.043 instead of 0.065; 1.5 s brought half of that, 6 s no more.
-const usualTime = 3 * time.Second
+// smoothingTime is the time constant of the moving average, several times the age of reports.
+const smoothingTime = 3 * time.Second
 
-// loadsReported takes the requests that other hosts have at workers, as of a time.
-func (t *transition) loadsReported(ev LoadsReported) {
+// handleLoads applies the counts of other hosts' requests at workers, as of a time.
+func (t *transition) handleLoads(ev LoadsReported) {
 	reported := ev.Loads.Counts()
-	weight := 1 - math.Exp(-ev.AsOf.Sub(t.reportedAsOf).Seconds()/usualTime.Seconds())
-	t.usual = averaged(t.usual, reported, min(1, max(0, weight)))
-	t.reported, t.reportedAsOf = reported, ev.AsOf
-	t.lendRetries()
+	weight := 1 - math.Exp(-ev.AsOf.Sub(t.reportedAsOf).Seconds()/smoothingTime.Seconds())
+	t.smoothedLoads = smoothed(t.smoothedLoads, reported, min(1, max(0, weight)))
+	t.reportedLoads, t.reportedAsOf = reported, ev.AsOf
+	t.borrowRetries()
 }
 
-// averaged returns the average moved toward new counts by a weight.
-func averaged(usual map[loads.Tag]float64, counts loads.Counts, weight float64) map[loads.Tag]float64 {
+// smoothed returns the moving average advanced toward new counts by a weight.
+func smoothed(usual map[loads.Tag]float64, counts loads.Counts, weight float64) map[loads.Tag]float64 {
 	next := make(map[loads.Tag]float64, len(counts))
 	for tag, n := range counts {
 		next[tag] = weight * float64(n)
 	}
 	for tag, was := range usual {
-		if rest := (1 - weight) * was; rest > leastUsual {
+		if rest := (1 - weight) * was; rest > minSmoothedLoad {
 			next[tag] += rest
 		}
 	}
 	return next
 }
 
-// leastUsual is the part of a request below which an average is forgotten.
-const leastUsual = 0.01
+// minSmoothedLoad is the number of requests below which an average is dropped.
+const minSmoothedLoad = 0.01
 
-// usualLoad is a worker's load with the other hosts' requests averaged.
-func (s State) usualLoad(w worker, now time.Time) float64 {
-	if now.Sub(s.reportedAsOf) > reportLifetime {
+// smoothedLoad returns a worker's load with other hosts' requests averaged over time.
+func (s State) smoothedLoad(w worker, now time.Time) float64 {
+	if now.Sub(s.reportedAsOf) > reportTTL {
 		return float64(w.inFlight)
 	}
-	return float64(w.inFlight) + s.usual[w.tag]
+	return float64(w.inFlight) + s.smoothedLoads[w.tag]
 }
 
 // load estimates the requests that a worker has from all hosts.
 func (s State) load(w worker, now time.Time) int {
-	others, asOf := s.othersLoad(w)
-	if now.Sub(asOf) > reportLifetime {
+	others, asOf := s.otherHostsLoad(w)
+	if now.Sub(asOf) > reportTTL {
 		return w.inFlight
 	}
 	return w.inFlight + others
 }
 
-// othersLoad is how many requests other hosts have at a worker, as of a time.
-func (s State) othersLoad(w worker) (n int, asOf time.Time) {
+// otherHostsLoad returns the number of other hosts' requests at a worker, and as of when.
+func (s State) otherHostsLoad(w worker) (n int, asOf time.Time) {
 	if w.selfReportedAt.After(s.reportedAsOf) {
 		return w.selfReported, w.selfReportedAt
 	}
-	return s.reported[w.tag], s.reportedAsOf
+	return s.reportedLoads[w.tag], s.reportedAsOf
 }
 
-// Loads returns the requests of this host at each worker that has any, and what it has sent
-// once more to each pool.
+// Loads returns the number of this host's requests at each worker that has any, and of its recent
+// retries in each pool.
 func (s State) Loads(now time.Time) loads.Digest {
 	own := loads.Counts{}
 	for _, w := range s.workers.All() {
@@ -90,7 +87,7 @@
 			own[w.tag] += w.inFlight
 		}
 	}
-	s.addRetries(own, now)
+	s.addRetrySpending(own, now)
 	return loads.Pack(own)
 }
 
@@ -102,22 +99,22 @@
 	}
 }
 
-// endInFlight takes the call's attempt out of the count, unless its worker has started
-// again since.
-func (t *transition) endInFlight(c call) {
-	if w, ok := t.workers.Get(c.target); ok && w.life == c.life && !c.pausing {
+// removeInFlight removes the call's attempt from its worker's count, unless the worker has
+// restarted since.
+func (t *transition) removeInFlight(c call) {
+	if w, ok := t.workers.Get(c.target); ok && w.incarnation == c.incarnation && !c.pausing {
 		w.inFlight = max(0, w.inFlight-1)
 		t.workers = t.workers.With(c.target, w)
 	}
 }
 
-// headerReceived takes the time until an answer began, and the worker's report of its
-// load: what exceeds this host's requests belongs to other hosts.
-func (t *transition) headerReceived(ev HeaderReceived) {
+// handleHeader records the time until an answer began and the load that the worker reports; what
+// exceeds this host's requests there belongs to other hosts.
+func (t *transition) handleHeader(ev HeaderReceived) {
 	if !ev.Declined {
-		t.learnHeaderTime(ev.Route, ev.Took)
+		t.recordHeaderTime(ev.Route, ev.Took)
 	}
-	t.takeNotice(ev)
+	t.applyNotice(ev)
 	w, ok := t.workers.Get(ev.Worker)
 	if !ok || ev.Load.Slots == 0 {
 		return
@@ -125,5 +122,5 @@
 	w.selfReported = max(0, ev.Load.Running+ev.Load.Waiting-w.inFlight)
 	w.selfReportedAt = t.now
 	t.workers = t.workers.With(ev.Worker, w)
-	t.zoneAnswered(w.Zone)
+	t.recordZoneResponse(w.Zone)
 }
--- a/core/requests/notice.go
+++ b/core/requests/notice.go
@@ -9,48 +9,48 @@
 	"github.com/yardhall/yardhall/core/outcome"
 )
 
-// A worker that declines may request a backoff: no requests from this host for a time. It is
-// obeyed on every path: first attempts, retries, resends and the last resort. A worker that declines
-// everything has no load and answers at once, so that it would look better than those that serve.
+// A worker that declines may request a backoff: no requests from this host for some time. It
+// applies to first attempts, retries, resends and the choice of last resort. Without it, a worker
+// that declines everything would be preferred, as it has no load and answers at once.
 //
-// A worker that answers 429 is only passed over for the time that it gives, and stays a last resort,
-// as it may take the next request.
+// A worker that answers 429 is only avoided for the time given, and remains a last resort, as it
+// may accept the next request.
 //
-// A worker whose answer says that it leaves gets nothing new, whatever is registered: heartbeats
-// may be late, or reach replicas that this host cannot. Only another process under its id is used
-// again.
+// A worker whose answer says that it is leaving (shutting down) gets nothing new, whatever its
+// registration says: heartbeats may be late, or reach only replicas that this host cannot reach.
+// Only a new process under its id is used again.
 //
-// Where all workers of a pool back off, requests are refused at once. Retry-After
-// is the time until the first worker is available again; the most urgent callers return first, and
-// those of one rank spread over a while. A caller whose request was declined while other workers are available
-// returns at once.
+// If all workers of a pool have a backoff, requests are refused at once. Retry-After is the time
+// until the first worker is available again, extended by rank, so that the most urgent callers
+// return first, and spread within a rank. A caller whose request was declined while other workers
+// are available may return at once.
 //
-// A worker that starts again may request a backoff before its registration tells of the start. So a
-// start ends only backoffs that were requested longer ago than a registration takes.
+// A restarted worker may request a backoff before its new registration arrives, so a restart
+// clears only backoffs requested longer ago than registrationDelay.
 //
-// Inputs: what workers say with their answers, the pool's workers, the request's rank.
+// Inputs: what workers report with their answers, the pool's workers, and the request's rank.
 
 const (
-	// returnGap is the time over which callers of one rank return, and the time between ranks.
-	returnGap = 100 * time.Millisecond
-	// registrationDelay is how late a registration may tell of a worker's start.
+	// returnInterval is the time over which callers of one rank return, and between ranks.
+	returnInterval = 100 * time.Millisecond
+	// registrationDelay is the longest delay of the registration that reports a worker's restart.
 	registrationDelay = 5 * time.Second
 )
 
-// Notice is what a worker says of itself with an answer. The zero value says nothing.
+// Notice is what a worker reports about itself with an answer. The zero value reports nothing.
 type Notice struct {
-	// Leaving is set where the worker is being stopped.
+	// Leaving is set if the worker is leaving, that is, shutting down.
 	Leaving bool
-	// Backoff is for how long the worker must get nothing from this host.
+	// Backoff is how long this host must send the worker nothing.
 	Backoff time.Duration
-	// SoftBackoff is for how long other workers are preferred.
+	// SoftBackoff is how long other workers are preferred; the worker remains a last resort.
 	SoftBackoff time.Duration
 }
 
-// backoffLeft is what is left of the worker's backoff.
+// backoffLeft returns the remaining time of the worker's backoff.
 func (w worker) backoffLeft(now time.Time) time.Duration { return max(0, w.backoffUntil.Sub(now)) }
 
-// latest is the later one of two times.
+// latest returns the later of two times.
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -58,22 +58,22 @@
 	return b
 }
 
-// withNotice returns the worker after it said something of itself.
+// withNotice returns the worker with the state that it reported.
 func (w worker) withNotice(n Notice, now time.Time) worker {
-	w.saysLeaving = w.saysLeaving || n.Leaving
-	w.fullUntil = latest(w.fullUntil, now.Add(n.SoftBackoff))
+	w.reportedLeaving = w.reportedLeaving || n.Leaving
+	w.avoidUntil = latest(w.avoidUntil, now.Add(n.SoftBackoff))
 	if n.Backoff > 0 {
 		w.backoffRequestedAt, w.backoffUntil = now, latest(w.backoffUntil, now.Add(n.Backoff))
 	}
 	return w
 }
 
-// leastBackoff is the time until the first of the workers that may take a call is available; 0 where
-// one does not back off, or there is none.
-func (t *transition) leastBackoff(c call) time.Duration {
+// shortestBackoff returns the time until the first worker that may take the call is available; 0
+// if one has no backoff or there is none.
+func (t *transition) shortestBackoff(c call) time.Duration {
 	least := time.Duration(0)
 	for _, w := range t.workers.All() {
-		if w.Pool != c.pool.ID || !w.maybeAlive() || t.closed(w.Zone) {
+		if w.Pool != c.pool.ID || !w.mayBeAlive() || t.isZoneClosed(w.Zone) {
 			continue
 		}
 		left := w.backoffLeft(t.now)
@@ -87,53 +87,55 @@
 	return least
 }
 
-// backoffVerdict ends a call where all workers back off.
+// backoffVerdict completes the verdict on a call for which all workers have a backoff.
 func (t *transition) backoffVerdict(c call, v Verdict) Verdict {
 	if c.attempt == 0 {
 		v.Code, v.Reason = CodeOverloaded, "all workers of the service requested a backoff"
 	}
-	if c.combined == outcome.NotRun {
+	if c.combinedOutcome == outcome.NotRun {
 		v.RetryAfter = t.retryAfterBackoff(c)
 	}
 	return v
 }
 
-// retryAfterBackoff is the advice to the caller of a call where all workers back off.
+// retryAfterBackoff returns the Retry-After advice for a call for which all workers have a
+// backoff.
 func (t *transition) retryAfterBackoff(c call) time.Duration {
-	return t.leastBackoff(c) + time.Duration((float64(c.rank)+c.drawn())*float64(returnGap))
+	return t.shortestBackoff(c) + time.Duration((float64(c.rank)+c.drawFraction())*float64(returnInterval))
 }
 
-// retryAfterDecline is the advice to the caller of a call that its worker declined.
+// retryAfterDecline returns the Retry-After advice for a call that its worker declined.
 func (t *transition) retryAfterDecline(c call) time.Duration {
 	w, _ := t.workers.Get(c.target)
 	switch {
 	case w.backoffLeft(t.now) > 0 && t.hasAvailable(c):
 		return retryAfterElsewhere
-	case t.leastBackoff(c) > 0:
+	case t.shortestBackoff(c) > 0:
 		return t.retryAfterBackoff(c)
 	}
 	return retryAfter
 }
 
-// takeNotice remembers what a worker says of itself, unless its process has ended since.
-func (t *transition) takeNotice(ev HeaderReceived) {
+// applyNotice records what a worker reports about itself, unless the process that answered has
+// been replaced.
+func (t *transition) applyNotice(ev HeaderReceived) {
 	w, known := t.workers.Get(ev.Worker)
 	c, running := t.calls.Get(ev.Request)
-	if ev.Notice == (Notice{}) || !known || !running || c.attempt != ev.Attempt || c.life != w.life {
+	if ev.Notice == (Notice{}) || !known || !running || c.attempt != ev.Attempt || c.incarnation != w.incarnation {
 		return
 	}
 	next := w.withNotice(ev.Notice, t.now)
 	t.workers = t.workers.With(ev.Worker, next)
-	if next.saysLeaving && !w.saysLeaving {
-		t.noticed(next, "its answer says that it leaves")
+	if next.reportedLeaving && !w.reportedLeaving {
+		t.logWorkerChange(next, "its answer says that it is leaving")
 	}
 	if ev.Notice.Backoff > 0 && w.backoffLeft(t.now) == 0 {
 		t.counters.Backoffs++
-		t.noticed(next, fmt.Sprintf("declined, requested a backoff of %s", ev.Notice.Backoff))
+		t.logWorkerChange(next, fmt.Sprintf("declined, requested a backoff of %s", ev.Notice.Backoff))
 	}
 }
 
-// noticed tells the log what a worker said.
-func (t *transition) noticed(w worker, why string) {
+// logWorkerChange emits a change in a worker's state for the log.
+func (t *transition) logWorkerChange(w worker, why string) {
 	t.out = append(t.out, WorkerChanged{Worker: w.Worker, Healthy: w.healthy(t.now), Failures: w.health.Failures, Reason: why})
 }
--- a/core/requests/replaced.go
+++ b/core/requests/replaced.go
@@ -11,64 +11,62 @@
 	"github.com/yardhall/yardhall/core/table"
 )
 
-// Where another process answers at a worker's address, the host that found out reports it,
-// so that hundreds of hosts need not send each a request to find out for themselves: a
-// worker that crashes and starts again behind a cut cannot register meanwhile. Replicas then
-// take the worker for silent until its next heartbeat (registry.WithReplaced), so that a
-// report that is wrong, or late, costs one heartbeat.
+// If another process answers at a worker's address, the host that finds out reports it, so that
+// hundreds of hosts need not each send a request to find out: a worker that crashes and restarts
+// behind a partition cannot register meanwhile. Replicas then treat the worker as silent until
+// its next heartbeat (registry.WithReplaced), so a wrong or late report costs one heartbeat
+// interval.
 //
-// Inputs: answers that decline a request as meant for another process.
+// Inputs: answers that decline a request because it was meant for another process.
 const (
-	// replacedLifetime is how long such an observation is reported: a few polls.
-	replacedLifetime = 2 * time.Second
-	// maxReplaced bounds those reported together, a hundredth of the workers of the
-	// largest pools many times over. What is left out each host finds out for itself.
-	maxReplaced = 64
+	// replacementTTL is how long a replacement is reported: a few polls.
+	replacementTTL = 2 * time.Second
+	// maxReplacements bounds a report. Hosts find out about any others by themselves.
+	maxReplacements = 64
 )
 
-// Replacement is a worker at whose address another process answered at SeenAt.
+// Replacement records that another process answered at a worker's address at SeenAt.
 type Replacement struct {
 	Worker ident.Target
 	Born   registry.Incarnation
 	SeenAt time.Time
 }
 
-// Replacements are the workers found replaced lately. It is immutable; the zero value is
-// empty.
+// Replacements are the recently observed replacements. It is immutable; the zero value is empty.
 type Replacements struct {
 	byWorker table.Table[ident.Target, Replacement]
 }
 
-// With adds one, and forgets those that are reported no more.
-func (r Replacements) With(one Replacement, now time.Time) Replacements {
+// With adds a replacement, and drops those that have expired.
+func (r Replacements) With(replacement Replacement, now time.Time) Replacements {
 	for id, other := range r.byWorker.All() {
-		if now.Sub(other.SeenAt) > replacedLifetime {
+		if now.Sub(other.SeenAt) > replacementTTL {
 			r.byWorker = r.byWorker.Without(id)
 		}
 	}
-	if have, ok := r.byWorker.Get(one.Worker); ok && !one.SeenAt.After(have.SeenAt) || r.byWorker.Len() >= maxReplaced {
+	if previous, ok := r.byWorker.Get(replacement.Worker); ok && !replacement.SeenAt.After(previous.SeenAt) || r.byWorker.Len() >= maxReplacements {
 		return r
 	}
-	r.byWorker = r.byWorker.With(one.Worker, one)
+	r.byWorker = r.byWorker.With(replacement.Worker, replacement)
 	return r
 }
 
-// Recent are those to be reported now.
+// Recent returns those to be reported now.
 func (r Replacements) Recent(now time.Time) []Replacement {
 	var out []Replacement
 	for _, one := range r.byWorker.All() {
-		if now.Sub(one.SeenAt) <= replacedLifetime {
+		if now.Sub(one.SeenAt) <= replacementTTL {
 			out = append(out, one)
 		}
 	}
 	return out
 }
 
-// Replacements are the workers that this host itself found replaced lately.
+// Replacements returns the replacements that this host observed itself.
 func (s State) Replacements() Replacements { return s.foundReplaced }
 
-// noteReplaced notes an attempt that found another process at its worker's address.
-func (t *transition) noteReplaced(w worker, a outcome.Attempt) {
+// recordReplacement records an attempt that found another process at its worker's address.
+func (t *transition) recordReplacement(w worker, a outcome.Attempt) {
 	if d, ok := a.(outcome.Declined); ok && d.Leaving && w.State == registry.Ready {
 		t.foundReplaced = t.foundReplaced.With(Replacement{Worker: w.ID, Born: w.Born, SeenAt: t.now}, t.now)
 	}
--- a/core/requests/resend.go
+++ b/core/requests/resend.go
@@ -4,44 +4,42 @@
 
 import "time"
 
-// A declined request that may go to no other worker is sent to the same one again after a pause:
-// a worker with few slots and short work has a free one a moment later, and the caller, sent away,
-// would come back later than that. It is sent if the worker is healthy and does not back off, the
-// answer can still begin within the route's objective, and the retry budget allows it. The
-// worker is looked at again at the end of the pause.
+// A declined request that may go to no other worker is resent to the same one after a pause: a
+// worker with few slots and short work has a free slot before the caller would retry. It is
+// resent if the worker is healthy and has no backoff, the answer can still begin within the
+// route's objective, and the retry budget allows it. The worker is checked again after the pause.
 //
-// Inputs: the usual time until answers of the route begin, the objective, when the request
-// arrived, the worker's health, the retry budget. Measured with three workers of six slots
-// and 30 ms of work behind 87 hosts: refusals 3.2 to 0.6 in 100 requests.
+// Inputs: the expected time until answers of the route begin, the objective, when the request
+// arrived, the worker's health, and the retry budget.
 const (
-	// maxResends bounds how often; each one doubles what the worker must turn away.
-	// Chosen, not measured.
+	// maxResends bounds the resends of a request, as each adds load to a worker that is already
+	// declining.
 	maxResends = 3
-	// minPause, as a part of the usual time, is the least pause; up to as much again is
-	// drawn from the request, so that those declined together do not return together.
-	minPause = 0.5
-	// unknownUsual, as a part of the objective, stands for the usual time of a route
-	// that this host has no answer of yet. Chosen, not measured.
-	unknownUsual = 0.25
-	// resendBits of a request's key are passed over with each resend, so that each one
-	// draws anew.
+	// minPauseFraction, of the expected time, is the shortest pause; up to as much again is drawn
+	// from the request's id, so that requests declined together are not resent together.
+	minPauseFraction = 0.5
+	// defaultHeaderTimeFraction, of the objective, is the expected time for a route without any
+	// answer so far.
+	defaultHeaderTimeFraction = 0.25
+	// resendBits of the request's key are skipped with each resend, so that each resend draws a
+	// new value.
 	resendBits = 8
 )
 
-// resend lets a declined request pause before it is sent to the same worker once more, and
-// tells whether it does.
-func (t *transition) resend(c call) bool {
-	if _, ok := t.resendWorker(c); !ok || c.resends >= maxResends {
+// pauseForResend pauses a declined request before it is resent to the same worker. It reports
+// whether the request is to be resent.
+func (t *transition) pauseForResend(c call) bool {
+	if _, ok := t.resendableWorker(c); !ok || c.resends >= maxResends {
 		return false
 	}
-	usual := t.usualHeaderTime(c)
-	pause := time.Duration(minPause * float64(usual) * (1 + c.drawn()))
+	usual := t.expectedHeaderTime(c)
+	pause := time.Duration(minPauseFraction * float64(usual) * (1 + c.drawFraction()))
 	begins := t.now.Add(pause + usual)
 	if begins.Sub(c.arrived) > time.Duration(c.route.Objective) || !t.budgetAllows(c) {
 		return false
 	}
 	t.counters.Retried++
-	t.spendRetry(c.pool.ID)
+	t.chargeRetry(c.pool.ID)
 	c.resends++
 	c.pausing = true
 	t.calls = t.calls.With(c.req.ID, c)
@@ -49,45 +47,46 @@
 	return true
 }
 
-// resendWorker is the worker that declined a call, where the call may be sent there again.
-func (t *transition) resendWorker(c call) (worker, bool) {
+// resendableWorker returns the worker that declined a call, and whether the call may be resent
+// there.
+func (t *transition) resendableWorker(c call) (worker, bool) {
 	w, ok := t.workers.Get(c.target)
-	return w, ok && w.healthy(t.now) && w.backoffLeft(t.now) == 0 && !t.closed(w.Zone) && !w.cold(t.now) && !t.isRefused(c)
+	return w, ok && w.healthy(t.now) && w.backoffLeft(t.now) == 0 && !t.isZoneClosed(w.Zone) && !w.isCold(t.now) && !t.isBlockedForCrashes(c)
 }
 
-// pauseEnded sends a request to its worker once more, unless the worker has requested a backoff,
-// left, or been drained during the pause.
-func (t *transition) pauseEnded(ev PauseEnded) {
+// handlePauseEnd resends a request to its worker, unless the worker became unavailable during the
+// pause.
+func (t *transition) handlePauseEnd(ev PauseEnded) {
 	c, ok := t.calls.Get(ev.Request)
 	if !ok || !c.pausing {
 		return
 	}
 	c.pausing = false
-	w, ok := t.resendWorker(c)
+	w, ok := t.resendableWorker(c)
 	switch {
 	case !ev.CallerWaiting:
-		t.finish(c.req.ID, Verdict{Outcome: c.combined, Code: CodeCallerGone, Reason: "the caller left"})
+		t.finish(c.req.ID, Verdict{Outcome: c.combinedOutcome, Code: CodeCallerGone, Reason: "the caller left"})
 	case !t.now.Before(c.req.Deadline):
-		t.finish(c.req.ID, Verdict{Outcome: c.combined, Code: CodeDeadline, Reason: "the deadline has passed"})
+		t.finish(c.req.ID, Verdict{Outcome: c.combinedOutcome, Code: CodeDeadline, Reason: "the deadline has passed"})
 	case !ok:
-		t.finishDeclined(c, Verdict{Code: CodeOverloaded, Reason: "the worker declined, and is not available after the pause"})
+		t.finishDeclined(c, Verdict{Code: CodeOverloaded, Reason: "the worker declined and is no longer available after the pause"})
 	default:
 		t.counters.Resent++
 		t.send(c, choice{worker: w, candidates: 1, kind: ResendAttempt})
 	}
 }
 
-// usualHeaderTime is how long most answers of the call's route take to begin.
-func (t *transition) usualHeaderTime(c call) time.Duration {
-	h, _ := t.headerTimes.Get(c.route.Name)
+// expectedHeaderTime returns the time within which most answers of the call's route begin.
+func (t *transition) expectedHeaderTime(c call) time.Duration {
+	h, _ := t.headerEstimates.Get(c.route.Name)
 	if !h.known {
-		return time.Duration(unknownUsual * float64(c.route.Objective))
+		return time.Duration(defaultHeaderTimeFraction * float64(c.route.Objective))
 	}
-	return h.usual()
+	return h.expected()
 }
 
-// drawn is a number from 0 up to 1 that depends on the request and the resend alone.
-func (c call) drawn() float64 {
+// drawFraction returns a number in [0, 1) that depends only on the request and its resends.
+func (c call) drawFraction() float64 {
 	key := uint64(requestKey(c.req.ID)) >> (uint(c.resends) * resendBits)
-	return float64(key%percent) / percent
+	return float64(key%drawSteps) / drawSteps
 }
--- a/core/requests/restart.go
+++ b/core/requests/restart.go
@@ -10,48 +10,46 @@
 	"github.com/yardhall/yardhall/core/registry"
 )
 
-// A worker that starts again under its id is another process. What was believed of the
-// earlier one ends: its health, its reports of load, the requests that this host counted
-// there. Attempts in progress there are lost: they are broken off at once, as no answer can
-// come, and what follows is decided as for any broken attempt, so that a request that must
-// not run twice ends as unknown. Nobody takes a prefix from the worker until its own
-// requests have brought prefixes back. Its place in the order of preference stays, as that
-// hangs on its id.
+// A worker that restarts under its id is a new process. Its health, reported load and in-flight
+// count are reset. Attempts in progress there are lost and aborted at once, as no answer can
+// come; each is then handled like any interrupted attempt, so that a request that must run at
+// most once ends as unknown. No prefix is copied from the worker until its own requests have
+// refilled its cache. Its position in the rendezvous order stays, as that depends only on its id.
 //
-// Inputs: the starts that registrations give, and the present time.
+// Inputs: the start times given by registrations, and the present time.
 
-// cacheRefillTime is how long a worker that started again is not asked for prefixes. Chosen,
-// not measured: the prefixes of returning callers come back to it within seconds.
+// cacheRefillTime is how long no prefixes are copied from a restarted worker. The requests of
+// returning callers refill its cache within seconds.
 const cacheRefillTime = 10 * time.Second
 
-// startedAgain tells whether a record shows a later process than it did before. One that
-// first gives its start may be the same as before.
-func startedAgain(before, after registry.Record) bool {
+// hasRestarted reports whether a record shows a later process than before. A record that gives a
+// start time for the first time may be of the same process.
+func hasRestarted(before, after registry.Record) bool {
 	return before.Incarnation() != 0 && after.Incarnation() > before.Incarnation()
 }
 
-// startedAgain returns the worker as another process.
-func (w worker) startedAgain(now time.Time) worker {
-	w.life++
-	w.startedAgainAt = now
-	w.health, w.inFlight, w.fullUntil, w.replaced = health.Target{}, 0, time.Time{}, false
+// restarted returns the worker as a new process.
+func (w worker) restarted(now time.Time) worker {
+	w.incarnation++
+	w.restartedAt = now
+	w.health, w.inFlight, w.avoidUntil, w.replaced = health.Target{}, 0, time.Time{}, false
 	w.selfReported, w.selfReportedAt = 0, time.Time{}
-	w.declinedAt, w.saysLeaving = time.Time{}, false
+	w.declinedAt, w.reportedLeaving = time.Time{}, false
 	if now.Sub(w.backoffRequestedAt) > registrationDelay {
 		w.backoffUntil = time.Time{}
 	}
 	return w
 }
 
-// mayHoldCache tells whether the worker has run for long enough to hold prefixes.
-func (w worker) mayHoldCache(now time.Time) bool {
-	return w.startedAgainAt.IsZero() || now.Sub(w.startedAgainAt) >= cacheRefillTime
+// mayHaveCache reports whether the worker has run long enough to have prefixes cached.
+func (w worker) mayHaveCache(now time.Time) bool {
+	return w.restartedAt.IsZero() || now.Sub(w.restartedAt) >= cacheRefillTime
 }
 
-// loseAttempts breaks off the attempts at an earlier process of a worker.
-func (t *transition) loseAttempts(id ident.Target, life uint64) {
+// abortAttempts aborts the attempts at an earlier process of a worker.
+func (t *transition) abortAttempts(id ident.Target, incarnation uint64) {
 	for request, c := range t.calls.All() {
-		if c.target == id && c.life == life && !c.pausing {
+		if c.target == id && c.incarnation == incarnation && !c.pausing {
 			t.out = append(t.out, AbortAttempt{Request: request, Attempt: c.attempt})
 		}
 	}
--- a/core/requests/retry.go
+++ b/core/requests/retry.go
@@ -2,34 +2,33 @@
 
 package requests
 
-// A request may be sent to one more worker while three limits allow it: the route's
-// MaxAttempts counts the workers that it may have reached; maxConnects counts those beyond
-// that could not be connected to; and the retry budget of its pool allows it
-// (retrybudget.go).
+// A request may be sent to one more worker within three limits: the route's MaxAttempts bounds
+// the workers that it may have reached, maxConnectFailures bounds those to which no connection
+// could be made, and the retry budget of the pool must allow it (retrybudget.go).
 //
-// Inputs: the route's MaxAttempts, the call's attempts, the budget.
+// Inputs: the route's MaxAttempts, the call's attempts, the retry budget.
 
-// maxConnects bounds the workers that a request finds out of reach: each costs it up
-// to the time of a connection attempt. Chosen, not measured.
-const maxConnects = 4
+// maxConnectFailures bounds the failed connections of a request, as each may take the whole
+// connect timeout.
+const maxConnectFailures = 4
 
-// connectsUsedUp tells whether the call has found too many workers out of reach.
-func (c call) connectsUsedUp() bool { return c.attempt >= maxConnects+c.sent }
+// connectFailuresExceeded reports whether the call has failed to connect to too many workers.
+func (c call) connectFailuresExceeded() bool { return c.attempt >= maxConnectFailures+c.reachedWorkers }
 
-// mayRetry tells whether all limits allow one more worker.
+// mayRetry reports whether all limits allow one more worker.
 func (t *transition) mayRetry(c call) bool {
-	if c.sent >= max(1, c.route.MaxAttempts) || c.connectsUsedUp() || t.isRefused(c) {
+	if c.reachedWorkers >= max(1, c.route.MaxAttempts) || c.connectFailuresExceeded() || t.isBlockedForCrashes(c) {
 		return false
 	}
 	return t.budgetAllows(c)
 }
 
-// retry sends the call to another worker, or ends it with v where there is none.
+// retry sends the call to another worker, or ends it with v if there is none.
 func (t *transition) retry(c call, v Verdict) {
 	t.counters.Retried++
-	if !c.paid {
-		t.spendRetry(c.pool.ID)
+	if !c.retryCharged {
+		t.chargeRetry(c.pool.ID)
 	}
-	c.paid = false
+	c.retryCharged = false
 	t.dispatch(c, v)
 }
--- a/core/requests/retrybudget.go
+++ b/core/requests/retrybudget.go
@@ -9,139 +9,136 @@
 	"github.com/yardhall/yardhall/core/loads"
 )
 
-// The retry budget of a pool is a token bucket at each host. Each first attempt adds its
-// part of the allowance, RetryShare; the bucket holds this host's part of RetryExtra, one
-// token at least, and starts full. So hosts keep the fleet's allowance without speaking to
-// each other.
+// The retry budget of a pool is a token bucket at each host. Each first attempt adds RetryShare
+// of a token; the bucket holds this host's part of RetryExtra, at least one token, and starts
+// full. The sum over all hosts stays within the fleet's allowance without coordination.
 //
-// At hundreds of hosts a part is hardly more than one request, and a few engines that are
-// lost behind a cut use it up at some hosts while the fleet as a whole has hardly begun. So
-// hosts report with their loads what they have sent once more within spendingWindow, and
-// each host is lent a part of what RetryExtra leaves: with each report lentPart of it,
-// divided among all hosts. As reports are late, what hosts may have used meanwhile is
-// charged: lentPart times the reports that fall into the age of one stays below 1.
+// With hundreds of hosts, a host's part is hardly more than one retry. If a partition hides a few
+// engines, some hosts use up their part while the fleet has spent little. Hosts therefore report
+// their retries within spendingWindow along with their loads, and with each report a host may
+// borrow borrowFraction of the unspent part of RetryExtra, divided by the number of hosts.
+// Reports are late: the sum stays within the allowance as long as borrowFraction times the number
+// of reports within the age of one report is below 1.
 //
-// Inputs: RetryShare (a part of requests), RetryExtra (requests), the number of entry hosts,
-// and the fleet's spending as of the last report.
+// Inputs: RetryShare (a fraction of requests), RetryExtra (requests), the number of entry hosts,
+// and the fleet's retries as of the last report.
 const (
-	// RetryBudgetFraction is the part of the fleet's allowance that hosts use. The rest covers
-	// hosts that count fewer entry hosts than there are, as after a start. Chosen, not
-	// measured.
+	// RetryBudgetFraction is the fraction of the fleet's allowance that hosts use. The rest
+	// covers hosts that assume too few entry hosts, as after a start.
 	RetryBudgetFraction = 0.6
-	// lentPart allows for reports that are up to ten report intervals old.
-	lentPart = 0.1
-	// spendingWindow is the time over which spending is added up, in seconds: as long as
-	// operators look at when they bound retries.
+	// borrowFraction allows for reports that are up to ten report intervals old.
+	borrowFraction = 0.1
+	// spendingWindow is the number of seconds over which retries are counted, the window over
+	// which operators observe retry limits.
 	spendingWindow = 10
 )
 
-// budget is what may still be sent once more to a pool, in requests. The zero value has
-// not begun.
+// budget holds the retries still allowed in a pool. The zero value has not been filled yet.
 type budget struct {
-	tokens float64
-	begun  bool
-	// lent is what other hosts leave to this one; spent is what this host has sent once
-	// more.
-	lent  float64
-	spent spending
+	tokens  float64
+	started bool
+	// borrowed is unspent budget of other hosts that this one may use; spent counts this host's
+	// retries.
+	borrowed float64
+	spent    windowCounter
 }
 
-// spending counts requests by the second, for as long as the window. The zero value has
-// none.
-type spending struct {
+// windowCounter counts retries per second over spendingWindow. The zero value is empty.
+type windowCounter struct {
 	second int64
 	counts [spendingWindow]int
 }
 
-// at returns the spending with the seconds before the window forgotten.
-func (s spending) at(now time.Time) spending {
+// advancedTo returns the counter with the seconds before the window dropped.
+func (s windowCounter) advancedTo(now time.Time) windowCounter {
 	second := now.Unix()
 	for s.second < second && second-s.second < spendingWindow {
 		s.second++
 		s.counts[s.second%spendingWindow] = 0
 	}
 	if s.second < second {
-		s = spending{second: second}
+		s = windowCounter{second: second}
 	}
 	return s
 }
 
-// withOne counts one request.
-func (s spending) withOne(now time.Time) spending {
-	s = s.at(now)
+// incremented returns the counter with one more retry.
+func (s windowCounter) incremented(now time.Time) windowCounter {
+	s = s.advancedTo(now)
 	s.counts[s.second%spendingWindow]++
 	return s
 }
 
-// sum is how many requests were counted within the window.
-func (s spending) sum(now time.Time) int {
+// total returns the number of retries within the window.
+func (s windowCounter) total(now time.Time) int {
 	total := 0
-	for _, n := range s.at(now).counts {
+	for _, n := range s.advancedTo(now).counts {
 		total += n
 	}
 	return total
 }
 
-// earnRetries adds a first attempt's part to the budget of its pool.
-func (t *transition) earnRetries(pool ident.Service) {
-	b, _ := t.budgets.Get(pool)
-	most := t.retryPart()
-	if !b.begun {
-		b = budget{tokens: most, begun: true}
+// creditRetries adds the allowance for a first attempt to the budget of its pool.
+func (t *transition) creditRetries(pool ident.Service) {
+	b, _ := t.retryBudgets.Get(pool)
+	share := t.hostRetryExtra()
+	if !b.started {
+		b = budget{tokens: share, started: true}
 	}
-	b.tokens = min(max(most, 1), b.tokens+RetryBudgetFraction*t.settings.RetryShare)
-	t.budgets = t.budgets.With(pool, b)
+	b.tokens = min(max(share, 1), b.tokens+RetryBudgetFraction*t.settings.RetryShare)
+	t.retryBudgets = t.retryBudgets.With(pool, b)
 }
 
-// retryPart is this host's part of RetryExtra.
-func (t *transition) retryPart() float64 {
-	return RetryBudgetFraction * t.settings.RetryExtra / float64(t.hosts)
+// hostRetryExtra returns this host's part of RetryExtra.
+func (t *transition) hostRetryExtra() float64 {
+	return RetryBudgetFraction * t.settings.RetryExtra / float64(t.hostCount)
 }
 
-// spendRetry charges the budget of a pool for one retry.
-func (t *transition) spendRetry(pool ident.Service) {
-	b, _ := t.budgets.Get(pool)
+// chargeRetry charges the budget of a pool for one retry.
+func (t *transition) chargeRetry(pool ident.Service) {
+	b, _ := t.retryBudgets.Get(pool)
 	if b.tokens >= 1 {
 		b.tokens--
 	} else {
-		b.lent--
+		b.borrowed--
 		t.counters.RetriesLent++
 	}
-	b.spent = b.spent.withOne(t.now)
-	t.budgets = t.budgets.With(pool, b)
+	b.spent = b.spent.incremented(t.now)
+	t.retryBudgets = t.retryBudgets.With(pool, b)
 }
 
-// budgetAllows tells whether the budget of the call's pool holds a retry, and counts
-// where it does not.
+// budgetAllows reports whether the budget of the call's pool allows a retry, and counts refusals.
 func (t *transition) budgetAllows(c call) bool {
-	b, _ := t.budgets.Get(c.pool.ID)
-	if b.tokens < 1 && b.lent < 1 {
+	b, _ := t.retryBudgets.Get(c.pool.ID)
+	if b.tokens < 1 && b.borrowed < 1 {
 		t.counters.NoBudget++
 		return false
 	}
 	return true
 }
 
-// lendRetries takes what hosts report of their spending. What was lent before and is not
-// used lapses beyond what a single report may bring and one request.
-func (t *transition) lendRetries() {
-	for pool, b := range t.budgets.All() {
-		fleet := t.reported[retriesTag(pool)] + b.spent.sum(t.now)
-		left := max(0, RetryBudgetFraction*t.settings.RetryExtra-float64(fleet))
-		part := lentPart * left / float64(t.hosts)
-		b.lent = min(max(0, b.lent)+part, 1+part)
-		t.budgets = t.budgets.With(pool, b)
+// borrowRetries updates the borrowed budget of each pool after a report of the fleet's retries.
+// Unused borrowings lapse, except for one retry.
+func (t *transition) borrowRetries() {
+	for pool, b := range t.retryBudgets.All() {
+		fleet := t.reportedLoads[retrySpendingTag(pool)] + b.spent.total(t.now)
+		unspent := max(0, RetryBudgetFraction*t.settings.RetryExtra-float64(fleet))
+		share := borrowFraction * unspent / float64(t.hostCount)
+		b.borrowed = min(max(0, b.borrowed)+share, 1+share)
+		t.retryBudgets = t.retryBudgets.With(pool, b)
 	}
 }
 
-// addRetries adds what this host has sent once more to its loads.
-func (s State) addRetries(own loads.Counts, now time.Time) {
-	for pool, b := range s.budgets.All() {
-		if n := b.spent.sum(now); n > 0 {
-			own[retriesTag(pool)] += n
+// addRetrySpending adds this host's recent retries to its reported loads.
+func (s State) addRetrySpending(own loads.Counts, now time.Time) {
+	for pool, b := range s.retryBudgets.All() {
+		if n := b.spent.total(now); n > 0 {
+			own[retrySpendingTag(pool)] += n
 		}
 	}
 }
 
-// retriesTag names the spending of a pool among loads.
-func retriesTag(pool ident.Service) loads.Tag { return loads.TagOf(ident.Target("retries of " + pool)) }
+// retrySpendingTag is the tag of a pool's retries among reported loads.
+func retrySpendingTag(pool ident.Service) loads.Tag {
+	return loads.TagOf(ident.Target("retries of " + pool))
+}
--- a/core/requests/spread.go
+++ b/core/requests/spread.go
@@ -7,49 +7,48 @@
 	"slices"
 )
 
-// When one subject surges, hundreds of hosts send its prompts to the same engine before any
-// of them knows of the others, and then all at once to the next one. So the prompts of a
-// prefix are spread evenly, by their ids, over the fewest engines of its order among which
-// the load that is beyond the mean comes to at most spreadPart of the bound each. As that
-// load is counted on all engines that it is spread over, the set stays as large as the surge
-// needs, and it is one engine where nothing surges.
+// When requests that share one prefix surge, hundreds of hosts send them to the same engine
+// before they learn of each other's requests, and then all at once to the next one. The prompts
+// of a prefix are therefore spread evenly, by request id, over the fewest engines of its
+// rendezvous order for which the load beyond the mean is at most spreadFraction of the bound
+// each. As that load is counted over all engines in the set, the set stays as large as the surge
+// needs, and is a single engine without a surge.
 //
-// Inputs: load estimates in requests (load.go), as of the same reports at all hosts, the
-// mean, and the bound.
+// Inputs: load estimates in requests (load.go), the mean, and the bound.
 
-// spreadPart of the bound on an engine's load may be taken by one surging prefix: what the
-// engine has besides, and what hosts do not know yet of each other, needs the rest.
-const spreadPart = 0.5
+// spreadFraction is the fraction of an engine's load bound that one surging prefix may use. The
+// rest is left for the engine's other load and for requests not reported yet.
+const spreadFraction = 0.5
 
-// spread returns the engines over which the prompts of a prefix are spread, the most
-// preferred first; nil where the first one alone takes them.
-func spread(found []candidate, mean, bound float64) []int {
-	top := first(found, func(candidate) bool { return true })
-	if float64(found[top].load)-mean <= spreadPart*bound {
+// spreadSet returns the indexes of the engines over which a prefix is spread, the most preferred
+// first; nil if the first one alone is enough.
+func spreadSet(candidates []candidate, mean, bound float64) []int {
+	first := highestScored(candidates, func(candidate) bool { return true })
+	if float64(candidates[first].load)-mean <= spreadFraction*bound {
 		return nil
 	}
-	order := make([]int, len(found))
+	order := make([]int, len(candidates))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(found[b].preference, found[a].preference) })
-	beyond := 0.0
+	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(candidates[b].score, candidates[a].score) })
+	excess := 0.0
 	for n, i := range order {
-		beyond += max(0, float64(found[i].load)-mean)
-		if beyond <= float64(n+1)*spreadPart*bound {
+		excess += max(0, float64(candidates[i].load)-mean)
+		if excess <= float64(n+1)*spreadFraction*bound {
 			return order[:n+1]
 		}
 	}
 	return order
 }
 
-// drawn is the engine of a spread that takes a request: the one that its id draws, or the
-// next of them with room; -1 where none has any.
-func (t *transition) drawn(c call, engines []int, hasRoom func(i int) bool) int {
+// pickFromSpread returns the engine of the set drawn by the request's id, or the next one with
+// room; -1 if none has room.
+func (t *transition) pickFromSpread(c call, engines []int, hasRoom func(i int) bool) int {
 	if len(engines) == 0 {
 		return -1
 	}
-	start := int(uint64(requestKey(c.req.ID)) / percent % uint64(len(engines))) //nolint:gosec // Below their number.
+	start := int(uint64(requestKey(c.req.ID)) / drawSteps % uint64(len(engines))) //nolint:gosec // Below their number.
 	for i := range engines {
 		if at := engines[(start+i)%len(engines)]; hasRoom(at) {
 			return at
--- a/core/requests/timeouts.go
+++ b/core/requests/timeouts.go
@@ -6,53 +6,51 @@
 	"time"
 )
 
-// An attempt is given up before its deadline only where the request may run again and has
-// another worker to go to: after headerObjectives times the route's objective without a
-// response header, if the retry budget allows another attempt then, and after stallPauses
-// times the longest pause between the events of a stream. So a worker that died, is cut
-// off or has turned slow does not hold what could be answered elsewhere.
+// An attempt is canceled before its deadline only if the request is repeatable and another worker
+// can take it: after headerObjectiveFactor times the route's objective without a response header,
+// if the retry budget allows another attempt by then, and after stallPauseFactor times the
+// route's longest pause between stream events. A worker that hangs, is partitioned, or has become
+// slow thus does not hold requests that others could answer. Shorter timeouts would make more
+// engines read the same prompts.
 //
-// Inputs: the route's objective and longest pause, its MaxAttempts, the retry budget, and
-// the workers left. Measured: giving up as soon as most answers have begun made more
-// engines read the same prompts (0.737 of the worth served instead of 0.751). Never giving
-// up served as much; the rule stays for workers that answer nothing.
+// Inputs: the route's objective and longest pause, its MaxAttempts, the retry budget, and the
+// remaining workers.
 const (
-	// headerObjectives and stallPauses are chosen, not measured, beyond the above.
-	headerObjectives = 2
-	stallPauses      = 4
-	// minHeaderTimeout and minStallTimeout bound them below. Chosen, not measured.
+	headerObjectiveFactor = 2
+	stallPauseFactor      = 4
+	// minHeaderTimeout and minStallTimeout are lower bounds of the timeouts.
 	minHeaderTimeout = 250 * time.Millisecond
 	minStallTimeout  = time.Second
 )
 
-// responseTimeouts are how long the next attempt may wait for the response header, and
-// between events; 0 is up to the deadline.
+// responseTimeouts returns how long the next attempt may wait for the response header and between
+// events; 0 means until the deadline.
 func (c call) responseTimeouts() (header, stall time.Duration) {
-	if !c.route.Repeatable() || c.sent+1 >= c.route.MaxAttempts {
+	if !c.route.Repeatable() || c.reachedWorkers+1 >= c.route.MaxAttempts {
 		return 0, 0
 	}
-	header = max(headerObjectives*time.Duration(c.route.Objective), minHeaderTimeout)
+	header = max(headerObjectiveFactor*time.Duration(c.route.Objective), minHeaderTimeout)
 	if c.route.MaxPause > 0 {
-		stall = max(stallPauses*time.Duration(c.route.MaxPause), minStallTimeout)
+		stall = max(stallPauseFactor*time.Duration(c.route.MaxPause), minStallTimeout)
 	}
 	return header, stall
 }
 
-// headerLate gives the present attempt up where another one is allowed. The retry is
-// charged at once, so that it is sure.
-func (t *transition) headerLate(ev HeaderTimedOut) {
+// handleHeaderTimeout cancels the current attempt if another one is allowed. The retry is charged
+// at once, so that the budget cannot run out before the retry is sent.
+func (t *transition) handleHeaderTimeout(ev HeaderTimedOut) {
 	c, ok := t.calls.Get(ev.Request)
 	if !ok || c.attempt != ev.Attempt {
 		return
 	}
-	t.learnHeaderTime(c.route.Name, ev.Waited)
+	t.recordHeaderTime(c.route.Name, ev.Waited)
 	next := c
-	next.sent++
+	next.reachedWorkers++
 	if !c.route.Repeatable() || !t.mayRetry(next) || !t.hasAvailable(c) {
 		return
 	}
-	t.spendRetry(c.pool.ID)
-	c.paid = true
+	t.chargeRetry(c.pool.ID)
+	c.retryCharged = true
 	t.calls = t.calls.With(ev.Request, c)
 	t.out = append(t.out, CancelAttempt{Request: ev.Request})
 }
--- a/core/requests/worker.go
+++ b/core/requests/worker.go
@@ -12,175 +12,177 @@
 	"github.com/yardhall/yardhall/core/registry"
 )
 
-// worker is what this host knows of one worker. How far it is trusted is a scale: one
-// that is available is healthy, one that is healthy may be alive.
+// worker is what this host knows of one worker. Its predicates are nested: an available worker is
+// healthy, and a healthy worker may be alive.
 type worker struct {
-	// Worker is what the record of its registrations comes to.
+	// Worker is the merged state of its registrations.
 	registry.Worker
 	record registry.Record
-	// registeredAt is when a registration last said something new.
+	// registeredAt is when a registration last changed the record.
 	registeredAt time.Time
-	// key is the hash of its id, for the order of preference.
+	// key is the hash of the worker's id, for rendezvous hashing.
 	key hash.Key
 	tag loads.Tag
-	// reportedBy is the host from which its registration came last.
+	// reportedBy is the host that last sent its registration.
 	reportedBy ident.Host
 	health     health.Target
-	// inFlight is how many requests this host has there.
+	// inFlight is the number of this host's requests at the worker.
 	inFlight int
-	// selfReported is how many the other hosts have, by the worker's own report at
-	// selfReportedAt.
+	// selfReported is the number of other hosts' requests, as derived from the worker's own
+	// report at selfReportedAt.
 	selfReported   int
 	selfReportedAt time.Time
-	// life counts how often the worker started again under its id, startedAgainAt is when
-	// this host last learned of it.
-	life           uint64
-	startedAgainAt time.Time
-	// displaced is set while another process is registered at the address that came there
-	// later, replaced where another worker answers there.
+	// incarnation counts the restarts of the worker under its id; restartedAt is when this host
+	// learned of the last one.
+	incarnation uint64
+	restartedAt time.Time
+	// displaced is set while a later process is registered at the worker's address, replaced once
+	// another worker has answered there.
 	displaced bool
 	replaced  bool
-	// declinedAt is when the worker last declined, fullUntil how long it is passed over then.
+	// declinedAt is when the worker last declined; it is avoided until avoidUntil.
 	declinedAt time.Time
-	fullUntil  time.Time
-	// saysLeaving is set once an answer said that the worker leaves, backoffUntil is the end of
-	// the backoff that it requested at backoffRequestedAt.
-	saysLeaving        bool
+	avoidUntil time.Time
+	// reportedLeaving is set once an answer said that the worker is leaving. backoffUntil is the
+	// end of the backoff that it requested at backoffRequestedAt.
+	reportedLeaving    bool
 	backoffUntil       time.Time
 	backoffRequestedAt time.Time
-	// coldUntil is when the worker is warm, coldSentAt when this host last sent it a request
-	// while it was cold.
+	// coldUntil is when the worker is warm; coldSentAt is when this host last sent it a request
+	// while cold.
 	coldUntil  time.Time
 	coldSentAt time.Time
 }
 
-// available tells whether new work may be sent to the worker: it is healthy, has not just
-// declined, and does not back off.
+// available reports whether the worker may get new requests: it is healthy, has not just
+// declined, and has no backoff.
 func (w worker) available(now time.Time) bool {
-	return w.healthy(now) && !now.Before(w.fullUntil) && w.backoffLeft(now) == 0
+	return w.healthy(now) && !now.Before(w.avoidUntil) && w.backoffLeft(now) == 0
 }
 
-// healthy tells whether the worker is registered as ready and not ejected.
+// healthy reports whether the worker is registered as ready, is not leaving, and is not ejected.
 func (w worker) healthy(now time.Time) bool {
-	return w.State == registry.Ready && !w.succeeded() && !w.saysLeaving && w.health.Usable(now)
+	return w.State == registry.Ready && !w.addressTaken() && !w.reportedLeaving && w.health.Usable(now)
 }
 
-// maybeAlive tells whether work may be sent there where nothing better is left.
-func (w worker) maybeAlive() bool {
-	return !w.succeeded() && !w.saysLeaving && (w.State == registry.Ready || w.State == registry.Silent)
+// mayBeAlive reports whether the worker may be used as a last resort.
+func (w worker) mayBeAlive() bool {
+	return !w.addressTaken() && !w.reportedLeaving && (w.State == registry.Ready || w.State == registry.Silent)
 }
 
-// mayHaveLoad tells whether the worker may be at work on requests.
+// mayHaveLoad reports whether the worker may be running requests.
 func (w worker) mayHaveLoad() bool {
-	return w.maybeAlive() || w.leaving() && !w.succeeded()
+	return w.mayBeAlive() || w.leaving() && !w.addressTaken()
 }
 
-// leaving tells whether the worker has said that it leaves, and has not ended yet.
+// leaving reports whether the worker has reported that it is shutting down, and has not ended
+// yet.
 func (w worker) leaving() bool {
-	return w.State == registry.Draining || w.saysLeaving && w.State != registry.Gone
+	return w.State == registry.Draining || w.reportedLeaving && w.State != registry.Gone
 }
 
-// succeeded tells whether another worker has the address now.
-func (w worker) succeeded() bool { return w.replaced || w.displaced }
+// addressTaken reports whether another worker has the address.
+func (w worker) addressTaken() bool { return w.replaced || w.displaced }
 
-// registered takes registrations that are newer than what is known.
-func (t *transition) registered(ev Registered) {
+// handleRegistrations applies registrations that are newer than those known.
+func (t *transition) handleRegistrations(ev Registered) {
 	for _, r := range ev.Workers {
-		t.registeredOne(ev.From, r)
+		t.handleRegistration(ev.From, r)
 	}
-	t.forgetWorkers()
+	t.removeOldWorkers()
 }
 
-func (t *transition) registeredOne(from ident.Host, r registry.Worker) {
-	have, known := t.workers.Get(r.ID)
-	// A worker that is gone is remembered, so that an older registration from another
-	// replica does not bring it back.
+func (t *transition) handleRegistration(from ident.Host, r registry.Worker) {
+	previous, known := t.workers.Get(r.ID)
+	// Workers that are gone are kept, so that an older registration from another replica does not
+	// bring them back.
 	if r.State == registry.Gone && known {
-		r.Pool, r.Address, r.Zone, r.Slots = have.Pool, have.Address, have.Zone, have.Slots
+		r.Pool, r.Address, r.Zone, r.Slots = previous.Pool, previous.Address, previous.Zone, previous.Slots
 	}
-	record, newer := have.record.With(r)
+	record, newer := previous.record.With(r)
 	if !newer {
 		return
 	}
-	next := have
+	next := previous
 	next.record, next.Worker = record, record.Worker()
 	next.reportedBy, next.registeredAt = from, t.now
 	next.coldUntil = t.now.Add(r.Cold)
 	next.key, next.tag = hash.Of(string(r.ID)), loads.TagOf(r.ID)
-	startedAgain := known && startedAgain(have.record, record)
-	if startedAgain {
-		next = next.startedAgain(t.now)
+	restarted := known && hasRestarted(previous.record, record)
+	if restarted {
+		next = next.restarted(t.now)
 	}
-	if have.Address != next.Address {
+	if previous.Address != next.Address {
 		next.replaced = false
 	}
-	if !known || have.State != next.State || startedAgain {
+	if !known || previous.State != next.State || restarted {
 		t.out = append(t.out, WorkerChanged{
-			Worker: next.Worker, Healthy: next.State == registry.Ready && !next.saysLeaving, Reason: why(startedAgain, from),
+			Worker: next.Worker, Healthy: next.State == registry.Ready && !next.reportedLeaving, Reason: registrationReason(restarted, from),
 		})
 	}
 	t.workers = t.workers.With(r.ID, next)
-	if startedAgain {
-		t.loseAttempts(r.ID, have.life)
-		t.processEnded(r.ID, have.life)
+	if restarted {
+		t.abortAttempts(r.ID, previous.incarnation)
+		t.recordProcessEnd(r.ID, previous.incarnation)
 	}
-	t.settleAddress(have.Address, next)
+	t.updateAddress(previous.Address, next)
 }
 
-// why names what a change of a worker was learned from, for the log.
-func why(startedAgain bool, from ident.Host) string {
-	if startedAgain {
-		return "it started again; registration, by " + string(from)
+// registrationReason describes, for the log, why a worker changed.
+func registrationReason(restarted bool, from ident.Host) string {
+	if restarted {
+		return "it restarted; registration, by " + string(from)
 	}
 	return "registration, by " + string(from)
 }
 
-// settleAddress notes where a worker is now, and which of the processes there, and where
-// it was before, are displaced.
-func (t *transition) settleAddress(before string, w worker) {
+// updateAddress indexes a worker's address, and updates which workers there and at its previous
+// address are displaced.
+func (t *transition) updateAddress(before string, w worker) {
 	t.addresses = t.addresses.With(w.Address, w.ID)
 	if before != w.Address {
 		t.addresses = t.addresses.Without(before, w.ID)
-		t.findDisplaced(before)
+		t.updateDisplaced(before)
 	}
-	t.findDisplaced(w.Address)
+	t.updateDisplaced(w.Address)
 }
 
-// findDisplaced finds the workers at an address that are displaced there.
-func (t *transition) findDisplaced(address string) {
+// updateDisplaced updates which workers at an address are displaced by a later process there.
+func (t *transition) updateDisplaced(address string) {
 	for _, id := range t.addresses.At(address) {
 		w, _ := t.workers.Get(id)
 		if displaced := t.addresses.Displaced(w.Worker, t.Worker); displaced != w.displaced {
 			w.displaced = displaced
 			t.workers = t.workers.With(id, w)
 			if displaced {
-				t.processEnded(id, w.life)
+				t.recordProcessEnd(id, w.incarnation)
 			}
 		}
 	}
 }
 
-// lastState is the state by which the worker is forgotten. One that leaves is kept for as long as
-// one that is gone, so that a late heartbeat does not make it available again.
-func (w worker) lastState() registry.State {
-	if w.saysLeaving && w.State == registry.Silent {
+// retentionState returns the state that determines how long the worker is remembered. A silent
+// worker that reported that it is leaving is kept as long as one that is gone, so that a late
+// heartbeat does not make it available again.
+func (w worker) retentionState() registry.State {
+	if w.reportedLeaving && w.State == registry.Silent {
 		return registry.Gone
 	}
 	return w.State
 }
 
-// forgetInterval is the time between two looks for workers to forget: a fraction of the
-// times for which they are remembered.
-const forgetInterval = 10 * time.Second
+// removalInterval is the time between removals of old workers, a fraction of the time for which
+// they are remembered.
+const removalInterval = 10 * time.Second
 
-// forgetWorkers drops workers that are over for long, as replicas do.
-func (t *transition) forgetWorkers() {
-	if t.now.Sub(t.forgotAt) < forgetInterval {
+// removeOldWorkers drops workers that ended long ago, like the replicas do.
+func (t *transition) removeOldWorkers() {
+	if t.now.Sub(t.workersRemovedAt) < removalInterval {
 		return
 	}
-	t.forgotAt = t.now
+	t.workersRemovedAt = t.now
 	for id, w := range t.workers.All() {
-		if w.inFlight == 0 && registry.Over(w.lastState(), t.now.Sub(w.registeredAt)) {
+		if w.inFlight == 0 && registry.Over(w.retentionState(), t.now.Sub(w.registeredAt)) {
 			t.workers = t.workers.Without(id)
 			t.addresses = t.addresses.Without(w.Address, id)
 		}
--- a/core/requests/workerhealth.go
+++ b/core/requests/workerhealth.go
@@ -8,37 +8,35 @@
 	"github.com/yardhall/yardhall/core/outcome"
 )
 
-// Each attempt tells of its worker. A failure counts toward its ejection, an answer ends
-// the count, and a worker that could not be connected to is ejected at once (package
-// health has the times). One that declines is passed over for fullPause; one that declines
-// as it leaves, or as another worker has its address, gets nothing more.
+// The result of each attempt updates its worker's health. Failures count toward its ejection, an
+// answer resets the count, and a failed connection ejects the worker at once (package health has
+// the durations). A worker that declines is avoided for declineAvoidTime; one that declines
+// because it is leaving, or because another worker has its address, is not used again.
 //
 // Inputs: how the attempt ended, and the worker's health so far.
 
-// fullPause is how long a worker that declined is passed over. Chosen, not measured;
-// without the rule 0.75 in 100 requests were refused, with it 0.50, where three workers of
-// six slots serve 87 hosts.
-const fullPause = 200 * time.Millisecond
+// declineAvoidTime is how long a worker that declined is avoided.
+const declineAvoidTime = 200 * time.Millisecond
 
-// learnHealth takes the result of an attempt as a sign of the worker's health.
-func (t *transition) learnHealth(c call, a outcome.Attempt) {
+// updateHealth updates the health of an attempt's worker and zone from the attempt's result.
+func (t *transition) updateHealth(c call, a outcome.Attempt) {
 	w, ok := t.workers.Get(c.target)
-	if !ok || w.life != c.life {
+	if !ok || w.incarnation != c.incarnation {
 		return
 	}
-	if isSilence(a) {
-		t.connectFailed(w)
-	} else if fromWorker(a) {
-		t.zoneAnswered(w.Zone)
+	if isSilent(a) {
+		t.recordZoneFailure(w)
+	} else if isWorkerResponse(a) {
+		t.recordZoneResponse(w.Zone)
 		w, _ = t.workers.Get(c.target)
 	}
 	before := w.healthy(t.now)
-	t.noteReplaced(w, a)
+	t.recordReplacement(w, a)
 	w = w.withResult(a, t.now)
 	t.workers = t.workers.With(c.target, w)
 	if after := w.healthy(t.now); after != before {
 		t.out = append(t.out, WorkerChanged{
-			Worker: w.Worker, Healthy: after, Failures: w.health.Failures, Reason: evidence(a),
+			Worker: w.Worker, Healthy: after, Failures: w.health.Failures, Reason: resultReason(a),
 		})
 	}
 }
@@ -50,7 +48,7 @@
 		w.health = w.health.WithResult(a.Status < serverError, now)
 	case outcome.Declined:
 		w.replaced = w.replaced || a.Leaving
-		w.declinedAt, w.fullUntil = now, latest(w.fullUntil, now.Add(fullPause))
+		w.declinedAt, w.avoidUntil = now, latest(w.avoidUntil, now.Add(declineAvoidTime))
 	case outcome.NeverSent:
 		w.health = w.health.WithUnreachable(now)
 	case outcome.Interrupted:
@@ -60,8 +58,8 @@
 	return w
 }
 
-// isSilence tells whether nothing came from the worker, not even a refusal.
-func isSilence(a outcome.Attempt) bool {
+// isSilent reports whether nothing came from the worker in time, not even a refused connection.
+func isSilent(a outcome.Attempt) bool {
 	switch a := a.(type) {
 	case outcome.NeverSent:
 		return a.ConnectTimedOut
@@ -71,8 +69,8 @@
 	return false
 }
 
-// fromWorker tells whether the worker itself answered.
-func fromWorker(a outcome.Attempt) bool {
+// isWorkerResponse reports whether the worker itself responded.
+func isWorkerResponse(a outcome.Attempt) bool {
 	switch a.(type) {
 	case outcome.Answered, outcome.Declined:
 		return true
@@ -80,8 +78,8 @@
 	return false
 }
 
-// evidence names what was seen of a worker, for the log.
-func evidence(a outcome.Attempt) string {
+// resultReason describes an attempt's result for the log.
+func resultReason(a outcome.Attempt) string {
 	switch a := a.(type) {
 	case outcome.NeverSent:
 		return a.Reason
--- a/core/requests/zones.go
+++ b/core/requests/zones.go
@@ -12,101 +12,97 @@
 	"github.com/yardhall/yardhall/core/registry"
 )
 
-// Another zone is unreachable once failuresToLeave of its workers in a row were silent,
-// within failuresWindow and with no answer from the zone in between; all other zones are,
-// once as many workers of several of them were. No request is sent to an unreachable zone.
-// Connections without a request, one each probeInterval, find out when it is back; its
-// ejected workers may then be tried at once. The host's own zone always counts as
-// reachable.
+// Another zone becomes unreachable once unreachableThreshold of its workers have failed to
+// respond within failureWindow, without any response from the zone in between; all other zones do
+// once as many workers of several of them have. No request is sent to an unreachable zone.
+// Connections without a request, one per probeInterval, detect when it is reachable again; its
+// ejected workers are then reinstated at once. The host's own zone always counts as reachable.
 //
-// Inputs: connection attempts and requests that ended in silence or in an answer, by
-// worker and zone. Measured: found out worker by worker, a zone of 105 workers that was
-// cut off failed 396 requests in six seconds, and 237 with this rule.
+// Inputs: connection attempts and requests that timed out or were answered, by worker and zone.
 const (
-	// failuresToLeave workers: with two, four dead ones of thirty took their whole zone
-	// out in a test.
-	failuresToLeave = 3
-	// failuresWindow is how long failures count together. Chosen, not measured: some
-	// connection attempts last 0.4 s each.
-	failuresWindow = 2 * time.Second
-	// probeInterval is the time between two probes of a zone: that of one connection
+	// unreachableThreshold is a number of workers; with fewer, a few dead workers would make
+	// their whole zone unreachable.
+	unreachableThreshold = 3
+	// failureWindow is how long failures count together; a connection attempt may take 0.4 s.
+	failureWindow = 2 * time.Second
+	// probeInterval is the time between two probes of a zone: the timeout of one connection
 	// attempt.
 	probeInterval = 400 * time.Millisecond
 )
 
-// connectFailure is a worker from which nothing came.
+// connectFailure is a worker that did not respond.
 type connectFailure struct {
 	worker ident.Target
 	zone   ident.Zone
 }
 
-// reachability is what recent connections to some workers showed. The zero value shows
-// nothing. Its slice is never changed in place.
+// reachability holds the workers that recently failed to respond. The zero value has none. Its
+// slice is never modified in place.
 type reachability struct {
 	failures []connectFailure
-	// firstAt is when the first of them was, probeAt when the next probe is due.
-	firstAt time.Time
-	probeAt time.Time
+	// firstFailureAt is when the first of them failed; nextProbeAt is when the next probe is due.
+	firstFailureAt time.Time
+	nextProbeAt    time.Time
 }
 
-// withFailure adds a worker, unless it stands there already.
+// withFailure returns r with a worker added, unless it is already included.
 func (r reachability) withFailure(f connectFailure, now time.Time) reachability {
-	if len(r.failures) < failuresToLeave && now.Sub(r.firstAt) > failuresWindow {
-		r = reachability{firstAt: now}
+	if len(r.failures) < unreachableThreshold && now.Sub(r.firstFailureAt) > failureWindow {
+		r = reachability{firstFailureAt: now}
 	}
-	if slices.Contains(r.failures, f) || len(r.failures) >= failuresToLeave {
+	if slices.Contains(r.failures, f) || len(r.failures) >= unreachableThreshold {
 		return r
 	}
 	r.failures = append(slices.Clone(r.failures), f)
-	r.probeAt = now.Add(probeInterval)
+	r.nextProbeAt = now.Add(probeInterval)
 	return r
 }
 
-// unreachable tells whether the zone of the failures is.
-func (r reachability) unreachable() bool { return len(r.failures) >= failuresToLeave }
+// isUnreachable reports whether enough workers have failed for the zone to be unreachable.
+func (r reachability) isUnreachable() bool { return len(r.failures) >= unreachableThreshold }
 
-// severalUnreachable tells whether the failures are of several zones, so that all are
-// taken to be unreachable.
-func (r reachability) severalUnreachable() bool {
+// spansZones reports whether enough workers of several zones have failed for all other zones to
+// be unreachable.
+func (r reachability) spansZones() bool {
 	ofAnother := func(f connectFailure) bool { return f.zone != r.failures[0].zone }
-	return r.unreachable() && slices.ContainsFunc(r.failures, ofAnother)
+	return r.isUnreachable() && slices.ContainsFunc(r.failures, ofAnother)
 }
 
-// reachable tells whether requests may be sent to the workers of a zone.
-func (t *transition) reachable(zone ident.Zone) bool {
+// isZoneReachable reports whether requests may be sent to the workers of a zone.
+func (t *transition) isZoneReachable(zone ident.Zone) bool {
 	if zone == t.settings.Zone {
 		return true
 	}
-	r, _ := t.zones.Get(zone)
-	return !r.unreachable() && !t.remoteZones.severalUnreachable()
+	r, _ := t.reachabilityByZone.Get(zone)
+	return !r.isUnreachable() && !t.otherZones.spansZones()
 }
 
-// connectFailed counts a worker from which nothing came.
-func (t *transition) connectFailed(w worker) {
+// recordZoneFailure counts a worker that did not respond against its zone.
+func (t *transition) recordZoneFailure(w worker) {
 	if w.Zone == t.settings.Zone {
 		return
 	}
-	before := t.reachable(w.Zone)
+	before := t.isZoneReachable(w.Zone)
 	f := connectFailure{worker: w.ID, zone: w.Zone}
-	r, _ := t.zones.Get(w.Zone)
-	t.zones = t.zones.With(w.Zone, r.withFailure(f, t.now))
-	t.remoteZones = t.remoteZones.withFailure(f, t.now)
-	if before && !t.reachable(w.Zone) {
+	r, _ := t.reachabilityByZone.Get(w.Zone)
+	t.reachabilityByZone = t.reachabilityByZone.With(w.Zone, r.withFailure(f, t.now))
+	t.otherZones = t.otherZones.withFailure(f, t.now)
+	if before && !t.isZoneReachable(w.Zone) {
 		t.out = append(t.out, ZoneChanged{
-			Zone: w.Zone, AllOthers: t.remoteZones.severalUnreachable(), LastFailed: w.ID,
+			Zone: w.Zone, AllOthers: t.otherZones.spansZones(), LastFailed: w.ID,
 		})
 	}
 }
 
-// zoneAnswered forgets the failures of a zone from which something came, and the
-// ejections of its workers.
-func (t *transition) zoneAnswered(zone ident.Zone) {
+// recordZoneResponse clears the failures of a zone that responded. If it was unreachable, it also
+// reinstates the zone's ejected workers.
+func (t *transition) recordZoneResponse(zone ident.Zone) {
 	if zone == t.settings.Zone {
 		return
 	}
-	before := t.reachable(zone)
-	t.zones = t.zones.Without(zone)
-	t.remoteZones = reachability{}
+	before := t.isZoneReachable(zone)
+	t.reachabilityByZone = t.reachabilityByZone.Without(zone)
+	t.otherZones = reachability{}
 	if before {
 		return
 	}
@@ -119,32 +115,31 @@
 	}
 }
 
-// probeZones asks for a connection to each unreachable zone, once in probeInterval.
+// probeZones requests a connection to each unreachable zone, one per probeInterval.
 func (t *transition) probeZones(r Request) {
-	for zone, held := range t.zones.All() {
-		if held.unreachable() && !t.now.Before(held.probeAt) {
-			held.probeAt = t.now.Add(probeInterval)
-			t.zones = t.zones.With(zone, held)
-			t.probe(r, func(w worker) bool { return w.Zone == zone })
+	for zone, current := range t.reachabilityByZone.All() {
+		if current.isUnreachable() && !t.now.Before(current.nextProbeAt) {
+			current.nextProbeAt = t.now.Add(probeInterval)
+			t.reachabilityByZone = t.reachabilityByZone.With(zone, current)
+			t.probeOne(r, func(w worker) bool { return w.Zone == zone })
 		}
 	}
-	if t.remoteZones.severalUnreachable() && !t.now.Before(t.remoteZones.probeAt) {
-		t.remoteZones.probeAt = t.now.Add(probeInterval)
-		t.probe(r, func(w worker) bool { return w.Zone != t.settings.Zone })
+	if t.otherZones.spansZones() && !t.now.Before(t.otherZones.nextProbeAt) {
+		t.otherZones.nextProbeAt = t.now.Add(probeInterval)
+		t.probeOne(r, func(w worker) bool { return w.Zone != t.settings.Zone })
 	}
 }
 
-// probe asks for a connection to one of the workers that fit, another one for each
-// request.
-func (t *transition) probe(r Request, fits func(worker) bool) {
+// probeOne requests a connection to one of the workers that fit, drawn by the request's id.
+func (t *transition) probeOne(r Request, fits func(worker) bool) {
 	var best registry.Worker
-	top := uint64(0)
+	bestScore := uint64(0)
 	for _, w := range t.workers.All() {
-		if w.State != registry.Ready || w.succeeded() || !fits(w) {
+		if w.State != registry.Ready || w.addressTaken() || !fits(w) {
 			continue
 		}
-		if score := hash.Mix(requestKey(r.ID), w.key); best.ID == "" || score > top {
-			best, top = w.Worker, score
+		if score := hash.Mix(requestKey(r.ID), w.key); best.ID == "" || score > bestScore {
+			best, bestScore = w.Worker, score
 		}
 	}
 	if best.ID != "" {
@@ -152,13 +147,13 @@
 	}
 }
 
-// probeEnded takes what came of a probe.
-func (t *transition) probeEnded(ev ProbeEnded) {
+// handleProbeEnd applies the result of a probe.
+func (t *transition) handleProbeEnd(ev ProbeEnded) {
 	w, ok := t.workers.Get(ev.Worker)
 	switch {
 	case ok && ev.OK:
-		t.zoneAnswered(w.Zone)
+		t.recordZoneResponse(w.Zone)
 	case ev.Refused:
-		t.connectionRefused(ev.Worker)
+		t.recordConnectionRefused(ev.Worker)
 	}
 }
