--- a/core/requests/choose.go
+++ b/core/requests/choose.go
@@ -148,7 +148,7 @@
 	bestIndex, bestScore := 0, math.Inf(-1)
 	for i, w := range candidates {
 		// Weighted rendezvous hashing: a larger weight moves the logarithm closer to 0.
-		if drawn := math.Log(unitInterval(w.score)) / t.plainWeight(c, w); drawn > bestScore {
+		if drawn := math.Log(unit(w.score)) / t.plainWeight(c, w); drawn > bestScore {
 			bestIndex, bestScore = i, drawn
 		}
 	}
@@ -157,10 +157,8 @@
 	return picked
 }
 
-// unitInterval maps a score to (0, 1].
-func unitInterval(score uint64) float64 {
-	return (float64(score>>unitShift) + 1) / (1 << (64 - unitShift))
-}
+// unit maps a score to (0, 1].
+func unit(score uint64) float64 { return (float64(score>>unitShift) + 1) / (1 << (64 - unitShift)) }
 
 // unitShift leaves as many bits of a score as a float64 represents exactly.
 const unitShift = 11
--- a/core/requests/retrybudget.go
+++ b/core/requests/retrybudget.go
@@ -121,7 +121,7 @@
 // Unused borrowings lapse, except for one retry.
 func (t *transition) borrowRetries() {
 	for pool, b := range t.retryBudgets.All() {
-		fleet := t.reportedLoads[retrySpendingTag(pool)] + b.spent.total(t.now)
+		fleet := t.reportedLoads[retryTag(pool)] + b.spent.total(t.now)
 		unspent := max(0, RetryBudgetFraction*t.settings.RetryExtra-float64(fleet))
 		share := borrowFraction * unspent / float64(t.hostCount)
 		b.borrowed = min(max(0, b.borrowed)+share, 1+share)
@@ -133,12 +133,10 @@
 func (s State) addRetrySpending(own loads.Counts, now time.Time) {
 	for pool, b := range s.retryBudgets.All() {
 		if n := b.spent.total(now); n > 0 {
-			own[retrySpendingTag(pool)] += n
+			own[retryTag(pool)] += n
 		}
 	}
 }
 
-// retrySpendingTag is the tag of a pool's retries among reported loads.
-func retrySpendingTag(pool ident.Service) loads.Tag {
-	return loads.TagOf(ident.Target("retries of " + pool))
-}
+// retryTag is the tag of a pool's retries among reported loads.
+func retryTag(pool ident.Service) loads.Tag { return loads.TagOf(ident.Target("retries of " + pool)) }
