--- a/core/requests/zones_test.go
+++ b/core/requests/zones_test.go
@@ -83,7 +83,7 @@
 				result = h.silence()
 			}
 		}
-		next := h.feed(requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, Wanted: true})
+		next := h.feed(requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, CallerWaiting: true})
 		again, ok := next.(requests.Dispatch)
 		if !ok {
 			return tries
@@ -95,9 +95,9 @@
 // silence is how a try ends in a zone that is cut off.
 func (h *zonedHost) silence() outcome.Attempt {
 	if h.kept {
-		return outcome.Broken{Reason: "i/o timeout", Silent: true}
+		return outcome.Interrupted{Reason: "i/o timeout", TimedOut: true}
 	}
-	return outcome.NeverSent{Reason: "i/o timeout", Silent: true}
+	return outcome.NeverSent{Reason: "i/o timeout", ConnectTimedOut: true}
 }
 
 // TestZoneThatIsCutOffIsLeftAtOnce cuts a zone of thirty workers off: a few requests
@@ -155,11 +155,11 @@
 		d := h.ask()
 		var result outcome.Attempt = outcome.Answered{Status: 200}
 		if dark[d.Worker.ID] {
-			result = outcome.NeverSent{Reason: "i/o timeout", Silent: true}
+			result = outcome.NeverSent{Reason: "i/o timeout", ConnectTimedOut: true}
 		} else if h.zones[d.Worker.ID] == "y" {
 			others++
 		}
-		h.feed(requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, Wanted: false})
+		h.feed(requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, CallerWaiting: false})
 		h.now = h.now.Add(10 * time.Millisecond)
 		for _, w := range h.probes {
 			h.feed(requests.ProbeEnded{Worker: w.ID, OK: !dark[w.ID]})
@@ -175,7 +175,7 @@
 	h := newZoned(t, 4)
 	for range 40 {
 		d := h.ask()
-		h.feed(requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: outcome.NeverSent{Reason: "refused"}, Wanted: false})
+		h.feed(requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: outcome.NeverSent{Reason: "refused"}, CallerWaiting: false})
 		h.now = h.now.Add(10 * time.Millisecond)
 	}
 	h.now = h.now.Add(time.Minute)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -78,11 +78,11 @@
 	if err != nil {
 		return nil, err
 	}
-	popts.First = d.goesFirst
+	popts.SkipHandshakeLimit = d.goesFirst
 	d.pool = peers.NewPool(popts)
-	d.pool.Know(append(s.Replicas.Hosts(), s.Neighbors.Hosts()...))
+	d.pool.SetAddresses(append(s.Replicas.Hosts(), s.Neighbors.Hosts()...))
 	d.targets = targets.NewClient(targets.Options{
-		DialTimeout: s.Targets.DialTimeout, ProbeTimeout: s.Targets.ProbeTimeout, StreamStall: s.Targets.StreamStall,
+		DialTimeout: s.Targets.DialTimeout, ProbeTimeout: s.Targets.ProbeTimeout, StallTimeout: s.Targets.StreamStall,
 		From: from, Blocked: o.BlockedAddress,
 	})
 	hs := hostSettings(s, o, incarnation)
@@ -92,12 +92,12 @@
 	}
 	state := host.New(hs, incarnation, clock.Now())
 	if log != nil {
-		if state, err = state.WithReplica(boot, clock.Now()); err != nil {
+		if state, err = state.WithReplicaState(boot, clock.Now()); err != nil {
 			return nil, errors.Wrap(err, "read replicated state")
 		}
 	}
 	if log != nil {
-		state = state.WithCrashes(keptCrashes(s.Host.Data, o.Log, time.Now()), clock.Now())
+		state = state.WithCrashList(keptCrashes(s.Host.Data, o.Log, time.Now()), clock.Now())
 	}
 	d.loop = newLoop(state, o.Log, d.pool, d.targets)
 	if log != nil {
@@ -107,7 +107,7 @@
 		})
 	}
 	d.server = peers.NewServer(popts, func(from ident.Host, m host.Message) {
-		d.loop.post(host.Received{From: from, Message: m})
+		d.loop.post(host.MessageReceived{From: from, Message: m})
 	})
 	d.metrics = newMetrics(d)
 	return d, d.listen()
@@ -118,12 +118,12 @@
 	hs := host.Settings{
 		ID: s.ID(), Zone: ident.Zone(s.Host.Zone), Address: s.Peer.Address(), Serves: s.Serves(),
 		Replicas: s.Replicas.Hosts(), Neighbours: s.Neighbors.Hosts(), Raft: o.Raft,
-		Incarnation: incarnation, Chats: s.Host.Chats, Seeds: s.SeedHosts(), Voters: 2*s.Replicas.Losses + 1,
-		SilentAfter: host.WorkerSilence(s.Gateway.Heartbeat), Requests: gatewaySettings(s), Relay: s.Gateway.Relay,
-		HubsAbove: s.Replicas.HubsAbove, InForce: min(s.Gateway.InForce, s.Gateway.Revoke),
+		Incarnation: incarnation, MaxChatsPerGroup: s.Host.Chats, Seeds: s.SeedHosts(), Voters: 2*s.Replicas.Losses + 1,
+		WorkerTimeout: host.WorkerTimeout(s.Gateway.Heartbeat), Requests: gatewaySettings(s), RelayAddress: s.Gateway.Relay,
+		HubsAbove: s.Replicas.HubsAbove, InForceWithin: min(s.Gateway.InForce, s.Gateway.Revoke),
 	}
 	if s.Seeded() {
-		hs.Raft = host.SeededRaft(o.Raft)
+		hs.Raft = host.SeededRaftOptions(o.Raft)
 	}
 	return hs
 }
@@ -135,7 +135,7 @@
 	if !d.settings.Seeded() || !state.Raft().Active() {
 		return true
 	}
-	return slices.ContainsFunc(state.ReplicaHosts(), func(h ident.Host) bool {
+	return slices.ContainsFunc(state.ReplicaAddresses(), func(h ident.Host) bool {
 		a, err := netip.ParseAddrPort(string(h))
 		return err == nil && a.Addr().Unmap() == ip
 	})
@@ -153,7 +153,7 @@
 	s := d.settings
 	o := peers.Options{
 		Self: s.ID(), Fleet: s.Host.Fleet, Key: s.Peer.Key, MaxMessage: settings.Bytes(s.Peer.MaxSize),
-		Counters: d.counters, Boot: boot, Boots: &peers.Boots{}, From: from, Blocked: d.options.BlockedHost,
+		Counters: d.counters, Boot: boot, PeerBoots: &peers.BootTracker{}, From: from, Blocked: d.options.BlockedHost,
 	}
 	if s.Peer.Cert == "" {
 		return o, nil
