--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -1,15 +1,16 @@
 // Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
 
-// Package outcome says what became of a caller's request.
+// Package outcome defines whether a caller's request ran, did not run, or may
+// have run.
 //
 // # Usage
 //
-// Kind travels in headers and logs; the rules of proof are:
+// Kind is sent in response headers and written to logs:
 //
-//   - Ran: the target's whole answer was received.
-//   - NotRun: no byte of any attempt reached a target, or each target reached
-//     said by its contract that it did not run it, and no earlier attempt
-//     under the same key may have run.
+//   - Ran: the target's complete answer was received.
+//   - NotRun: no attempt sent a byte to a target, or every target reached
+//     reported, as its contract requires, that it did not run the request, and
+//     no earlier attempt with the same idempotency key may have run.
 //   - Unknown: everything else.
 package outcome
 
@@ -18,23 +19,23 @@
 // Kind is the outcome of a request.
 type Kind string
 
-// Kinds of outcome.
+// Outcomes of a request.
 const (
 	Ran     Kind = "ran"
 	NotRun  Kind = "not-run"
 	Unknown Kind = "unknown"
 )
 
-// Attempt is how one try on one target ended. The set is closed.
+// Attempt is the result of one attempt at one target. The set of types is closed.
 type Attempt interface{ attempt() }
 
 type (
-	// Answered means that the whole answer of the target was received.
+	// Answered means that the target's complete answer was received.
 	Answered struct {
 		Status int
-		// Tokens are the tokens generated, where the target says so.
+		// Tokens is the number of tokens generated, if the target reports it.
 		Tokens int
-		// CachedTokens are the prompt tokens served from the prefix cache.
+		// CachedTokens is the number of prompt tokens served from the prefix cache.
 		CachedTokens int
 		PromptTokens int
 	}
@@ -46,15 +47,16 @@
 		ConnectTimedOut bool
 		ConnectRefused  bool
 	}
-	// Declined means that the target said that it did not run the request.
+	// Declined means that the target reported that it did not run the request.
 	Declined struct {
 		Reason string
-		// Leaving is true where it declined as it is being stopped.
+		// Leaving is set if the target declined because it is shutting down.
 		Leaving bool
-		// RetryAfter is when the target may be tried again, as it says; 0 for no advice.
+		// RetryAfter is the delay that the target asks for before another attempt; 0 if it
+		// gave none.
 		RetryAfter time.Duration
 	}
-	// Interrupted means that bytes were sent and the whole answer did not come.
+	// Interrupted means that bytes were sent but the complete answer was not received.
 	Interrupted struct {
 		Reason string
 		// AnswerStarted is true where the caller has already seen part of it.
@@ -62,7 +64,8 @@
 		// TimedOut is true where nothing at all came in the time allowed.
 		TimedOut bool
 	}
-	// Abandoned means that the caller left.
+	// Abandoned means that the caller disconnected before the answer was complete; Sent is
+	// set if bytes had been sent to the target.
 	Abandoned struct{ Sent bool }
 )
 
@@ -72,7 +75,7 @@
 func (Interrupted) attempt() {}
 func (Abandoned) attempt()   {}
 
-// Of returns the outcome that a single attempt proves.
+// Of returns the outcome of a request whose only attempt ended with a.
 func Of(a Attempt) Kind {
 	switch a := a.(type) {
 	case Answered:
@@ -90,8 +93,8 @@
 	panic("outcome: attempt outside the closed set")
 }
 
-// Combine joins the outcomes of several attempts of one request: a later proof
-// that the last one did not run does not clear an earlier one that may have.
+// Combine returns the outcome of a request with attempts of outcomes a and b: if one
+// attempt may have run, another that did not run does not make the request NotRun.
 func Combine(a, b Kind) Kind {
 	if a == Ran || b == Ran {
 		return Ran
