--- a/core/confirmation/confirmation_test.go
+++ b/core/confirmation/confirmation_test.go
@@ -14,10 +14,9 @@
 
 var start = time.Unix(1000, 0)
 
-// TestConfirmationsNeverGrowYounger draws a chain of hosts, each of which is held up for a
-// while before it replies and on the way: the last one's confirmation is never later than
-// the leader's, and no older than all delays together.
-func TestConfirmationsNeverGrowYounger(t *testing.T) {
+// TestRelayedConfirmationsNeverGetNewer relays a confirmation through hosts with random delays:
+// it must never be later than the leader's, nor older than the delays explain.
+func TestRelayedConfirmationsNeverGetNewer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		delay := rapid.Custom(func(t *rapid.T) time.Duration {
 			return time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
@@ -35,11 +34,11 @@
 	})
 }
 
-func TestLeaseRunsFromTheAsOfTime(t *testing.T) {
+func TestLeaseStartsAtAsOfTime(t *testing.T) {
 	c := confirmation.Confirmation{}
-	require.False(t, c.Valid(time.Hour, start), "there has been none")
+	require.False(t, c.Valid(time.Hour, start), "no confirmation yet")
 	c = c.Latest(confirmation.Confirmation{AsOf: start})
 	c = c.Latest(confirmation.FromReply(start, time.Second))
-	require.True(t, c.Valid(time.Second, start.Add(time.Second-1)), "an older one changes nothing")
+	require.True(t, c.Valid(time.Second, start.Add(time.Second-1)), "an older confirmation changes nothing")
 	require.False(t, c.Valid(time.Second, start.Add(time.Second)))
 }
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -13,36 +13,36 @@
 
 var now = time.Unix(1_000_000, 0)
 
-func TestListIsWeighedAgainstEvidence(t *testing.T) {
+func TestRecentSuccessOutweighsAbsenceFromList(t *testing.T) {
 	var h health.Target
-	require.True(t, h.Usable(now), "nothing known")
+	require.True(t, h.Usable(now), "nothing is known yet")
 	require.False(t, h.WithListing(health.Absent).Usable(now))
 	answering := h.WithResult(true, now).WithListing(health.Absent)
-	require.True(t, answering.Usable(now.Add(5*time.Second)), "wrongly dropped but answering")
+	require.True(t, answering.Usable(now.Add(5*time.Second)), "absent from the list but answering")
 	require.False(t, answering.Usable(now.Add(time.Minute)))
 	require.False(t, h.WithResult(true, now).WithListing(health.Leaving).Usable(now), "leaving outweighs answers")
 }
 
-func TestOwnSignOfLeavingEndsByALaterReport(t *testing.T) {
+func TestLaterLoadReportClearsLeaving(t *testing.T) {
 	h, ok := health.Target{}.WithReport(1, 5, true, now)
 	require.True(t, ok)
 	require.False(t, h.Usable(now))
 	stale, ok := h.WithReport(1, 4, false, now)
-	require.False(t, ok, "a late report")
+	require.False(t, ok, "an outdated report")
 	require.False(t, stale.Usable(now))
 	h, ok = h.WithReport(1, 6, false, now)
 	require.True(t, ok)
 	require.True(t, h.Usable(now))
-	heard := h.WithLeavingFromPeer(now)
-	require.False(t, heard.Usable(now))
-	require.False(t, heard.ReportsLeaving(now), "what was heard is not passed on")
-	require.True(t, heard.Usable(now.Add(time.Minute)))
-	restarted, ok := heard.WithReport(2, 1, false, now)
-	require.True(t, ok, "a new start counts from one again")
+	reportedByPeer := h.WithLeavingFromPeer(now)
+	require.False(t, reportedByPeer.Usable(now))
+	require.False(t, reportedByPeer.ReportsLeaving(now), "another host's report is not forwarded")
+	require.True(t, reportedByPeer.Usable(now.Add(time.Minute)))
+	restarted, ok := reportedByPeer.WithReport(2, 1, false, now)
+	require.True(t, ok, "a new process restarts the sequence numbers")
 	require.True(t, restarted.Usable(now))
 }
 
-func TestFailuresEjectForLongerAndLonger(t *testing.T) {
+func TestEjectionTimeDoublesWithFailures(t *testing.T) {
 	h := health.Target{}
 	for range 2 {
 		h = h.WithResult(false, now)
@@ -50,7 +50,7 @@
 	require.True(t, h.Usable(now))
 	h = h.WithResult(false, now)
 	require.False(t, h.Usable(now))
-	require.True(t, h.Usable(now.Add(2*time.Second)), "tried again")
+	require.True(t, h.Usable(now.Add(2*time.Second)), "the ejection has ended")
 	for range 20 {
 		h = h.WithResult(false, now)
 	}
--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -42,8 +42,8 @@
 	// NeverSent means that no byte was written to the target.
 	NeverSent struct {
 		Reason string
-		// ConnectTimedOut is true where nobody answered a new connection in time, Refused where it
-		// was refused, as no process listens there.
+		// ConnectTimedOut is set if connecting timed out, ConnectRefused if the connection was
+		// refused because no process listens at the address.
 		ConnectTimedOut bool
 		ConnectRefused  bool
 	}
@@ -59,9 +59,9 @@
 	// Interrupted means that bytes were sent but the complete answer was not received.
 	Interrupted struct {
 		Reason string
-		// AnswerStarted is true where the caller has already seen part of it.
+		// AnswerStarted is set if the caller has already received part of the answer.
 		AnswerStarted bool
-		// TimedOut is true where nothing at all came in the time allowed.
+		// TimedOut is set if nothing was received within the time allowed.
 		TimedOut bool
 	}
 	// Abandoned means that the caller disconnected before the answer was complete; Sent is
