--- a/core/health/health.go
+++ b/core/health/health.go
@@ -35,8 +35,8 @@
 // recent good answer, as the list lags.
 const (
 	failuresToEject = 3
-	ejectBase   = time.Second
-	ejectMax    = 30 * time.Second
+	ejectBase       = time.Second
+	ejectMax        = 30 * time.Second
 	// unreachableEjectBase and unreachableEjectMax apply to a target that cannot be connected to.
 	unreachableEjectBase = 500 * time.Millisecond
 	unreachableEjectMax  = 4 * time.Second
@@ -68,8 +68,8 @@
 	Listing              Listing
 	// ReportSeq is the sequence number of the newest load report.
 	ReportSeq uint64
-	// Boot identifies the target's process, increasing with each start. Reports of a newer
-	// process replace those of an older one whatever their sequence number.
+	// Boot is the incarnation of the target's process, which increases with each start. Reports
+	// of a newer incarnation replace those of an older one whatever their sequence number.
 	Boot uint64
 	// BackoffUntil is when the backoff that the target requested of this host ends.
 	BackoffUntil time.Time
@@ -177,10 +177,10 @@
 
 // WithReport records a load report and reports whether it was new; an outdated or duplicate
 // report changes nothing.
-func (t Target) WithReport(boot, seq uint64, leaving bool, now time.Time) (Target, bool) {
-	if boot < t.Boot || (boot == t.Boot && seq <= t.ReportSeq) {
+func (t Target) WithReport(incarnation, seq uint64, leaving bool, now time.Time) (Target, bool) {
+	if incarnation < t.Boot || (incarnation == t.Boot && seq <= t.ReportSeq) {
 		return t, false
 	}
-	t.Boot, t.ReportSeq = boot, seq
+	t.Boot, t.ReportSeq = incarnation, seq
 	return t.WithLeaving(leaving, now).WithResult(true, now), true
 }
--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -50,7 +50,7 @@
 	// Declined means that the target reported that it did not run the request.
 	Declined struct {
 		Reason string
-		// Leaving is set if the target declined because it is shutting down.
+		// Leaving is set if the target declined because it is leaving.
 		Leaving bool
 		// RetryAfter is the delay that the target asks for before another attempt; 0 if it
 		// gave none.
