--- a/core/crashes/content.go
+++ b/core/crashes/content.go
@@ -8,17 +8,17 @@
 	"encoding/hex"
 )
 
-// contentBytes is the length of a Content: half of a SHA-256, which nobody can bring
-// another caller's request under.
+// contentBytes is the length of a Content: half of a SHA-256 digest, enough that nobody can
+// construct a collision with another caller's request.
 const contentBytes = 16
 
-// Content identifies requests that are the same: of one caller, with the same method, host,
-// path, query and body. Each arrival of such a request has an id of its own, but the same
-// Content. Empty where it is not known.
+// Content is a digest that identifies equal requests: those of one caller with the same method,
+// host, path, query and body. Each arrival of such a request has its own id but the same Content.
+// It is empty if unknown.
 type Content string
 
-// ContentOf returns the Content of a caller's request. Parts are what the request consists
-// of; without any it is not known.
+// ContentOf returns the Content of a caller's request, which consists of the given parts; empty
+// without parts.
 func ContentOf(caller string, parts ...[]byte) Content {
 	if len(parts) == 0 {
 		return ""
@@ -33,5 +33,5 @@
 	return Content(h.Sum(nil)[:contentBytes])
 }
 
-// String returns the content in hex, as logs show it.
+// String returns the digest in hex, as it is logged.
 func (c Content) String() string { return hex.EncodeToString([]byte(c)) }
--- a/core/crashes/content_test.go
+++ b/core/crashes/content_test.go
@@ -10,12 +10,13 @@
 	"github.com/yardhall/yardhall/core/crashes"
 )
 
-// TestContentIsOfOneCaller keeps callers apart, and the borders of parts.
-func TestContentIsOfOneCaller(t *testing.T) {
+// TestContentDependsOnCallerAndParts guards against equal contents for different callers, or for
+// the same bytes split into parts differently.
+func TestContentDependsOnCallerAndParts(t *testing.T) {
 	one := crashes.ContentOf("halls", []byte("ab"), []byte("c"))
 	require.Equal(t, one, crashes.ContentOf("halls", []byte("ab"), []byte("c")))
 	require.Len(t, one.String(), 32)
 	require.NotEqual(t, one, crashes.ContentOf("tills", []byte("ab"), []byte("c")))
 	require.NotEqual(t, one, crashes.ContentOf("halls", []byte("a"), []byte("bc")))
-	require.Empty(t, crashes.ContentOf("halls"), "nothing is known of the request")
+	require.Empty(t, crashes.ContentOf("halls"), "a request of unknown content")
 }
--- a/core/crashes/crashes.go
+++ b/core/crashes/crashes.go
@@ -1,22 +1,22 @@
 // Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
 
-// Package crashes decides which requests are refused because workers end under them.
+// Package crashes decides which requests are refused because they crash workers.
 //
-// A request may end each worker that begins to run it, and each end takes along all that
-// the worker runs beside it. Its caller sends it again, under a new id, to any host. So it
-// is known again by its Content, and what hosts see of ends is gathered: each end of a
-// worker is a Crash of every request that was in progress there. Evidence, on replicas,
-// tells the request that ends workers from those that only shared them, and yields a List,
-// which all hosts hold and obey.
+// A request may crash every worker that starts to run it, and each crash also fails all other
+// requests on that worker. Callers retry such a request under a new id, at any host, so it is
+// recognized by its Content. Each time a worker's process exits, hosts report a Crash for every
+// request that was in progress there. Evidence, which replicas keep, separates the request
+// that crashes workers from those that merely shared them, and yields a List, which all hosts
+// hold and apply.
 //
 // # Usage
 //
 //	e = e.With(content, crashes.Crash{Worker: "w1", SentAt: sent, EndedAt: ended}, now)
-//	list = list.With(now, e.Judged(now)...)
-//	entry, refused := list.Refused(content, now)
+//	list = list.With(now, e.Evaluate(now)...)
+//	until, refused := list.Refused(content, now)
 //
-// Both are immutable and bounded, and forget with time; their zero values are empty. Times
-// are those of the host that holds them: between hosts travel ages.
+// Both types are immutable, bounded and expire their entries; their zero values are empty.
+// Times are by the local clock; hosts exchange ages instead of times.
 package crashes
 
 import (
@@ -25,45 +25,41 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// Crash is an attempt at a worker that was in progress when the worker's process ended.
+// Crash is an attempt that was in progress at a worker when the worker's process exited.
 type Crash struct {
-	// Attempt names the attempt, so that it counts once however often it is reported, and
-	// however late: ages lack the time that a message was held up. Empty where it is not
-	// known.
+	// Attempt identifies the attempt, so that it counts once no matter how often and how late it
+	// is reported: reported ages do not include the time in transit. Empty if unknown.
 	Attempt string
 	Worker  ident.Target
 	SentAt  time.Time
 	EndedAt time.Time
-	// AnswerStarted is set where the caller had already seen part of the answer.
+	// AnswerStarted is set if the caller had already received part of the answer.
 	AnswerStarted bool
 }
 
 const (
-	// CrashesToRefuse is how many workers in a row end under a request until it is refused.
-	// Each costs its callers all that the worker runs, some ten requests and up to its
-	// slots; but a request that has merely met two such ends is not rare while another one
-	// ends workers: its second attempt goes where that one goes next.
+	// CrashesToRefuse is the number of consecutive crashes after which a request is refused. Each
+	// crash costs all requests on the worker. Fewer crashes would also refuse innocent requests:
+	// while one request crashes workers, retries of the others often follow it to the next
+	// worker.
 	CrashesToRefuse = 3
-	// endsToWatch is the number of ends from which hosts report if a worker answers the
-	// request after all.
-	endsToWatch = CrashesToRefuse - 1
-	// refuseFor is how long a request is refused after the last end under it. Chosen, not
-	// measured: a caller that goes on sending it then costs a worker every ten minutes, and
-	// one whose workers were replaced by better ones waits no longer.
-	refuseFor = 10 * time.Minute
-	// Retention is how long after the last end a request is remembered: one that is let
-	// through after refuseFor and ends another worker is refused again at once. Chosen, not
-	// measured.
+	// crashesToWatch is the number of consecutive crashes from which hosts report whether a
+	// worker answers the request after all.
+	crashesToWatch = CrashesToRefuse - 1
+	// refusalDuration is how long a request is refused after its last crash: it bounds the
+	// crashes of a caller that keeps retrying, and the wait after the workers have been fixed.
+	refusalDuration = 10 * time.Minute
+	// Retention is how long a request is remembered after its last crash: if it crashes another
+	// worker after refusalDuration, it is refused again at once.
 	Retention = time.Hour
-	// sameEnd is the time within which reports of the end of a worker mean the same end:
-	// reports are some poll intervals old, and a process needs longer to start again.
-	sameEnd = time.Second
-	// AnswerReportWindow is the time that hosts have to report answers before a request is refused:
-	// a list reaches them through hubs, and their polls come back, in less. Measured with
-	// ends that are proved 3 s late, 40 seeds: a popular request was refused in none; one that
-	// ends workers was sent more than three times after that in none, in one with 600 ms.
+	// sameCrashTolerance is the difference in time up to which reports of a worker's crash mean
+	// the same one: reports may be some poll intervals old, and a process takes longer to
+	// restart.
+	sameCrashTolerance = time.Second
+	// AnswerReportWindow is how long hosts have to report answers before a request is refused:
+	// longer than the list takes to reach them through hubs and their polls to return.
 	AnswerReportWindow = 400 * time.Millisecond
-	// transit is the difference that ages allow for between two hosts' reports: they lack
-	// the time that a message was on its way.
-	transit = 100 * time.Millisecond
+	// transitTolerance is the difference allowed between times in two hosts' reports, as reported
+	// ages do not include the time in transit.
+	transitTolerance = 100 * time.Millisecond
 )
--- a/core/crashes/evidence.go
+++ b/core/crashes/evidence.go
@@ -11,58 +11,57 @@
 	"github.com/yardhall/yardhall/core/table"
 )
 
-// A request is held to end workers once EndsToRefuse of them ended under it in a row: each
-// time it had been sent anew after the end before, and no worker has answered it meanwhile.
-// So requests in progress at several workers that are lost at the same moment, as by a cut or
-// a loss of power, count one end however many there are. A request that waits long at its
-// workers and comes often is hardly ever sent anew after an end: of it, one end more counts,
-// each at a moment of its own.
+// A request is held responsible once CrashesToRefuse workers have crashed under it
+// consecutively: it was sent again after each crash, and no worker has answered it in between.
+// Requests in progress at several workers that are lost at the same moment, as in a network
+// partition or a power loss, therefore count one crash. A request that runs long and arrives
+// often is rarely sent after the previous crash; for it, crashes at distinct moments count
+// too, less one.
 //
-// Those that only shared a worker are distinguished in two ways. A worker does not end under a
-// request that it has long begun to answer where another one had just come to it. And an end
-// is explained by one request: the one with the most ends takes those ends from all others.
+// Requests that merely shared a worker are excluded in two ways. A worker is not assumed to
+// crash under a request whose answer had started if another request without a started answer
+// was in progress there. And each crash is attributed to one request: the one with the most
+// crashes takes its crashes from all others.
 //
-// A request that many callers send is in progress at most ends, and answered between them. So
-// hosts remember what they had answered lately (answers.go), and report it once a request is
-// watched; one that ended enough workers is refused only after they have had the time for
-// that. Otherwise ends that are proved late and together would count before any answer.
-//
-// Inputs: the attempts in progress at each end of a worker, as hosts report them, and answers.
+// A request that many callers send is in progress at most crashes, and answered between them.
+// Hosts therefore remember recent answers (answers.go) and report them once a request is
+// watched; a request with enough crashes is refused only after they have had time for that.
+// Otherwise several crashes detected late would count before any answer is reported.
 const (
-	// maxCrashes bounds the crashes remembered of one request, more than are judged.
+	// maxCrashes bounds the crashes remembered per request; it exceeds CrashesToRefuse.
 	maxCrashes = 8
-	// maxAttempts bounds the attempts remembered of one request: those that several hosts
-	// have at each of its crashes.
+	// maxAttempts bounds the attempts remembered per request: those that several hosts have in
+	// progress at each of its crashes.
 	maxAttempts = 64
-	// maxContents bounds the requests remembered: the ends of some ten full engines with
-	// 64 slots each. Chosen, not measured.
+	// maxContents bounds the requests remembered: the crashes of about ten full workers with 64
+	// slots each.
 	maxContents = 1024
-	// moment is how far apart two ends are that one cause, as a cut, did not bring about
-	// together: what hosts notice of it, and report, differs by less. Chosen, not measured.
-	moment = 500 * time.Millisecond
+	// simultaneityWindow is the difference in time up to which crashes may have one common cause,
+	// such as a network partition.
+	simultaneityWindow = 500 * time.Millisecond
 )
 
-// Evidence is what was reported of ends of workers. It is immutable; the zero value is
+// Evidence is what hosts have reported of worker crashes. It is immutable; the zero value is
 // empty.
 type Evidence struct {
-	byContent table.Table[Content, record]
-	// answered is when requests were answered last, as hosts report, of those under which ends
-	// were reported: an end that is reported later and came before does not count.
+	byContent table.Table[Content, crashRecord]
+	// answered is when requests with reported crashes were last answered; a crash before that
+	// does not count, even if it is reported later.
 	answered table.Table[Content, time.Time]
 }
 
-// record are the crashes of a request, in the order of their ends, and the attempts that
-// count among them; never changed in place.
-type record struct {
+// crashRecord is the crashes of one request in order of time, and the attempts counted among
+// them. It is never modified in place.
+type crashRecord struct {
 	crashes  []Crash
 	attempts []string
 }
 
-// Len is the number of requests remembered.
+// Len returns the number of requests remembered.
 func (e Evidence) Len() int { return e.byContent.Len() }
 
-// With adds a crash under a request. One that is known already changes at most when the
-// request was sent to the worker last.
+// With adds a crash of a request. For a crash already known it updates only when the request was
+// last sent to the worker, and whether an answer had started in all attempts.
 func (e Evidence) With(content Content, c Crash, now time.Time) Evidence {
 	if content == "" || now.Sub(c.EndedAt) > Retention {
 		return e
@@ -70,158 +69,162 @@
 	if at, ok := e.answered.Get(content); ok && !c.EndedAt.After(at) {
 		return e
 	}
-	known, _ := e.byContent.Get(content)
-	if c.Attempt != "" && slices.Contains(known.attempts, c.Attempt) {
+	have, _ := e.byContent.Get(content)
+	if c.Attempt != "" && slices.Contains(have.attempts, c.Attempt) {
 		return e
 	}
-	next := slices.Clone(known.crashes)
-	if i := slices.IndexFunc(next, c.isSameEnd); i >= 0 {
-		next[i].AnswerStarted = next[i].AnswerStarted && c.AnswerStarted
-		if c.SentAt.After(next[i].SentAt) {
-			next[i].SentAt = c.SentAt
+	updated := slices.Clone(have.crashes)
+	if i := slices.IndexFunc(updated, c.isSameWorkerCrash); i >= 0 {
+		updated[i].AnswerStarted = updated[i].AnswerStarted && c.AnswerStarted
+		if c.SentAt.After(updated[i].SentAt) {
+			updated[i].SentAt = c.SentAt
 		}
 	} else {
-		next = append(next, c)
+		updated = append(updated, c)
 	}
-	slices.SortStableFunc(next, func(a, b Crash) int { return a.EndedAt.Compare(b.EndedAt) })
-	next = next[max(0, len(next)-maxCrashes):]
-	if len(known.crashes) == 0 && e.byContent.Len() >= maxContents {
+	slices.SortStableFunc(updated, func(a, b Crash) int { return a.EndedAt.Compare(b.EndedAt) })
+	updated = updated[max(0, len(updated)-maxCrashes):]
+	if len(have.crashes) == 0 && e.byContent.Len() >= maxContents {
 		e = e.withoutOldest()
 	}
-	attempts := append(slices.Clone(known.attempts), c.Attempt)
-	e.byContent = e.byContent.With(content, record{
-		crashes: next, attempts: attempts[max(0, len(attempts)-maxAttempts):],
+	attempts := append(slices.Clone(have.attempts), c.Attempt)
+	e.byContent = e.byContent.With(content, crashRecord{
+		crashes: updated, attempts: attempts[max(0, len(attempts)-maxAttempts):],
 	})
 	return e
 }
 
-// WithAnswer forgets the crashes of a request before it was answered, also those that are still
-// to be reported.
+// WithAnswer records that a request was answered, which discards its earlier crashes, including
+// those not yet reported.
 func (e Evidence) WithAnswer(content Content, answeredAt time.Time) Evidence {
-	if before, ok := e.answered.Get(content); !ok || answeredAt.After(before) {
+	if last, ok := e.answered.Get(content); !ok || answeredAt.After(last) {
 		e.answered = e.answered.With(content, answeredAt)
 	}
 	if e.answered.Len() > maxContents {
 		e.answered = table.Table[Content, time.Time]{}.With(content, answeredAt)
 	}
-	known, ok := e.byContent.Get(content)
+	have, ok := e.byContent.Get(content)
 	if !ok {
 		return e
 	}
-	later := slices.DeleteFunc(slices.Clone(known.crashes), func(c Crash) bool { return !c.EndedAt.After(answeredAt) })
+	later := slices.DeleteFunc(slices.Clone(have.crashes), func(c Crash) bool { return !c.EndedAt.After(answeredAt) })
 	if len(later) == 0 {
 		e.byContent = e.byContent.Without(content)
 		return e
 	}
-	e.byContent = e.byContent.With(content, record{crashes: later, attempts: known.attempts})
+	e.byContent = e.byContent.With(content, crashRecord{crashes: later, attempts: have.attempts})
 	return e
 }
 
-// Expire drops the requests whose last end is long ago.
+// Expire drops requests whose last crash is older than Retention, and old answers.
 func (e Evidence) Expire(now time.Time) Evidence {
 	for content, known := range e.byContent.All() {
-		if now.Sub(lastEnd(known.crashes)) > Retention {
+		if now.Sub(lastCrashAt(known.crashes)) > Retention {
 			e.byContent = e.byContent.Without(content)
 		}
 	}
 	for content, at := range e.answered.All() {
-		if now.Sub(at) > answersRemembered {
+		if now.Sub(at) > answerRetention {
 			e.answered = e.answered.Without(content)
 		}
 	}
 	return e
 }
 
-// withoutOldest drops the request whose last end is the longest ago.
+// withoutOldest drops the request whose last crash is the oldest.
 func (e Evidence) withoutOldest() Evidence {
 	var oldest Content
 	var at time.Time
 	for content, known := range e.byContent.All() {
-		if end := lastEnd(known.crashes); oldest == "" || end.Before(at) {
-			oldest, at = content, end
+		if last := lastCrashAt(known.crashes); oldest == "" || last.Before(at) {
+			oldest, at = content, last
 		}
 	}
 	e.byContent = e.byContent.Without(oldest)
 	return e
 }
 
-func lastEnd(crashes []Crash) time.Time { return crashes[len(crashes)-1].EndedAt }
+func lastCrashAt(crashes []Crash) time.Time { return crashes[len(crashes)-1].EndedAt }
 
-// isSameEnd tells whether two crashes are of one end of a worker.
-func (c Crash) isSameEnd(other Crash) bool {
-	return c.Worker == other.Worker && c.EndedAt.Sub(other.EndedAt).Abs() < sameEnd
+// isSameWorkerCrash reports whether two crashes are due to the same exit of a worker's process.
+func (c Crash) isSameWorkerCrash(other Crash) bool {
+	return c.Worker == other.Worker && c.EndedAt.Sub(other.EndedAt).Abs() < sameCrashTolerance
 }
 
-// isSame tells whether two crashes are of one attempt, as one host reports it some times over.
-func (c Crash) isSame(other Crash) bool {
+// isSameAttempt reports whether two crashes are of the same attempt, which a host reports several
+// times.
+func (c Crash) isSameAttempt(other Crash) bool {
 	if c.Attempt != "" || other.Attempt != "" {
 		return c.Attempt == other.Attempt
 	}
-	return c.isSameEnd(other) && c.SentAt.Sub(other.SentAt).Abs() < sameEnd
+	return c.isSameWorkerCrash(other) && c.SentAt.Sub(other.SentAt).Abs() < sameCrashTolerance
 }
 
-// suspected is a request with the crashes that it may explain.
-type suspected struct {
-	content Content
-	crashes []Crash
-	ends    int
+// candidate is a request with the crashes that it may have caused; attributed is their count
+// after attributedCrashes.
+type candidate struct {
+	content    Content
+	crashes    []Crash
+	attributed int
 }
 
-// Evaluate returns an entry for each request under which endsToWatch workers or more ended in
-// a row.
+// Evaluate returns an entry for each request with at least crashesToWatch crashes attributed to
+// it.
 func (e Evidence) Evaluate(now time.Time) []Entry {
 	var out []Entry
-	explained := ends{}
-	for _, s := range e.suspects() {
-		left := explained.without(s.crashes)
-		n := counted(left)
-		if n < endsToWatch {
+	attributed := workerCrashes{}
+	for _, c := range e.candidates() {
+		remaining := attributed.without(c.crashes)
+		n := attributedCrashes(remaining)
+		if n < crashesToWatch {
 			continue
 		}
 		if n >= CrashesToRefuse {
-			explained.add(left)
+			attributed.add(remaining)
 		}
-		if at := lastEnd(left); now.Sub(at) <= Retention {
-			out = append(out, Entry{Content: s.content, Crashes: min(n, CrashesToRefuse), At: at})
+		if at := lastCrashAt(remaining); now.Sub(at) <= Retention {
+			out = append(out, Entry{Content: c.content, Crashes: min(n, CrashesToRefuse), At: at})
 		}
 	}
 	return out
 }
 
-// suspects are the requests that may have ended several workers, the most suspected first.
-func (e Evidence) suspects() []suspected {
-	fresh := ends{}
+// candidates returns the requests that may have crashed several workers, the most likely first.
+func (e Evidence) candidates() []candidate {
+	unstarted := workerCrashes{}
 	for _, known := range e.byContent.All() {
 		for _, c := range known.crashes {
 			if !c.AnswerStarted {
-				fresh.add([]Crash{c})
+				unstarted.add([]Crash{c})
 			}
 		}
 	}
-	var out []suspected
+	var out []candidate
 	for content, known := range e.byContent.All() {
-		own := slices.DeleteFunc(slices.Clone(known.crashes), func(c Crash) bool { return c.AnswerStarted && fresh.has(c) })
-		if n := counted(own); n >= endsToWatch {
-			out = append(out, suspected{content: content, crashes: own, ends: n})
+		possible := slices.DeleteFunc(slices.Clone(known.crashes), func(c Crash) bool { return c.AnswerStarted && unstarted.has(c) })
+		if n := attributedCrashes(possible); n >= crashesToWatch {
+			out = append(out, candidate{content: content, crashes: possible, attributed: n})
 		}
 	}
-	slices.SortStableFunc(out, func(a, b suspected) int {
-		return cmp.Or(cmp.Compare(b.ends, a.ends), cmp.Compare(len(b.crashes), len(a.crashes)),
+	slices.SortStableFunc(out, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(b.attributed, a.attributed), cmp.Compare(len(b.crashes), len(a.crashes)),
 			a.crashes[0].EndedAt.Compare(b.crashes[0].EndedAt), cmp.Compare(a.content, b.content))
 	})
 	return out
 }
 
-// counted is how many ends are held against the request of some crashes.
-func counted(crashes []Crash) int { return max(inARow(crashes), atMoments(crashes)-1) }
+// attributedCrashes returns how many of a request's crashes are held against it.
+func attributedCrashes(crashes []Crash) int {
+	return max(countConsecutive(crashes), countDistinctMoments(crashes)-1)
+}
 
-// atMoments is how many of the crashes, in the order of their ends, came at moments of their
-// own.
-func atMoments(crashes []Crash) int {
+// countDistinctMoments returns how many of the crashes, in order of time, occurred more than
+// simultaneityWindow apart.
+func countDistinctMoments(crashes []Crash) int {
 	n := 0
 	var last time.Time
 	for _, c := range crashes {
-		if n == 0 || c.EndedAt.Sub(last) > moment {
+		if n == 0 || c.EndedAt.Sub(last) > simultaneityWindow {
 			n++
 			last = c.EndedAt
 		}
@@ -229,13 +232,13 @@
 	return n
 }
 
-// inARow is how many of the crashes, in the order of their ends, came one after the other:
-// the request had been sent anew after the end before.
-func inARow(crashes []Crash) int {
+// countConsecutive returns how many of the crashes, in order of time, followed one another: the
+// request was sent again after the previous crash.
+func countConsecutive(crashes []Crash) int {
 	n := 0
 	var last time.Time
 	for _, c := range crashes {
-		if n == 0 || c.SentAt.After(last.Add(-transit)) && c.EndedAt.After(last.Add(transit)) {
+		if n == 0 || c.SentAt.After(last.Add(-transitTolerance)) && c.EndedAt.After(last.Add(transitTolerance)) {
 			n++
 			last = c.EndedAt
 		}
@@ -243,20 +246,22 @@
 	return n
 }
 
-// ends are ends of workers, by worker.
-type ends map[ident.Target][]Crash
+// workerCrashes are crashes by worker, one for each exit of its process.
+type workerCrashes map[ident.Target][]Crash
 
-func (e ends) has(c Crash) bool { return slices.ContainsFunc(e[c.Worker], c.isSameEnd) }
+func (w workerCrashes) has(c Crash) bool {
+	return slices.ContainsFunc(w[c.Worker], c.isSameWorkerCrash)
+}
 
-func (e ends) add(crashes []Crash) {
+func (w workerCrashes) add(crashes []Crash) {
 	for _, c := range crashes {
-		if !e.has(c) {
-			e[c.Worker] = append(e[c.Worker], c)
+		if !w.has(c) {
+			w[c.Worker] = append(w[c.Worker], c)
 		}
 	}
 }
 
-// without are the crashes of other ends.
-func (e ends) without(crashes []Crash) []Crash {
-	return slices.DeleteFunc(slices.Clone(crashes), e.has)
+// without returns those of the given crashes that are not in the set.
+func (w workerCrashes) without(crashes []Crash) []Crash {
+	return slices.DeleteFunc(slices.Clone(crashes), w.has)
 }
--- a/core/crashes/evidence_test.go
+++ b/core/crashes/evidence_test.go
@@ -18,8 +18,8 @@
 
 func content(name string) crashes.Content { return crashes.ContentOf("halls", []byte(name)) }
 
-// crash is the end of a worker, seconds after the start, under a request sent some time
-// before.
+// crash returns a worker's crash, the given seconds after start, under a request sent ran seconds
+// earlier.
 func crash(worker string, seconds, ran float64) crashes.Crash {
 	at := start.Add(time.Duration(seconds * float64(time.Second)))
 	return crashes.Crash{
@@ -40,8 +40,8 @@
 	return e
 }
 
-// judged are the ends that are held against each request, by its name.
-func judged(e crashes.Evidence, names ...string) map[string]int {
+// crashCounts returns the crashes attributed to each request, by its name.
+func crashCounts(e crashes.Evidence, names ...string) map[string]int {
 	out := map[string]int{}
 	for _, entry := range e.Evaluate(start.Add(time.Minute)) {
 		for _, name := range names {
@@ -53,77 +53,78 @@
 	return out
 }
 
-// TestThreeEndsInARow holds a request to end workers once three ended under it, each after
-// it had been sent anew.
-func TestThreeEndsInARow(t *testing.T) {
+// TestThreeConsecutiveCrashes guards against refusing a request before three crashes, or despite
+// an answer in between.
+func TestThreeConsecutiveCrashes(t *testing.T) {
 	e := evidenceOf(reported{"bad", crash("w1", 1, 0.1)}, reported{"bad", crash("w2", 2, 0.1)})
-	require.Equal(t, map[string]int{"bad": 2}, judged(e, "bad"))
+	require.Equal(t, map[string]int{"bad": 2}, crashCounts(e, "bad"))
 	e = e.With(content("bad"), crash("w3", 3, 0.1), start)
-	require.Equal(t, map[string]int{"bad": 3}, judged(e, "bad"))
-	require.Empty(t, judged(e.WithAnswer(content("bad"), start.Add(3*time.Second)), "bad"), "a worker answered it")
+	require.Equal(t, map[string]int{"bad": 3}, crashCounts(e, "bad"))
+	require.Empty(t, crashCounts(e.WithAnswer(content("bad"), start.Add(3*time.Second)), "bad"), "a worker answered it")
 	late := e.WithAnswer(content("bad"), start.Add(1500*time.Millisecond))
-	require.Equal(t, map[string]int{"bad": 2}, judged(late, "bad"), "answered before the last two ends")
+	require.Equal(t, map[string]int{"bad": 2}, crashCounts(late, "bad"), "answered before the last two crashes")
 }
 
-// TestEndsAtOneMomentAreOneEnd has a request in progress at many workers when all are lost,
-// as by a cut that looks like their end, and reports of one end come several times.
-func TestEndsAtOneMomentAreOneEnd(t *testing.T) {
+// TestSimultaneousCrashesCountOnce guards against blaming a request that was in progress at many
+// workers when all were lost at once, and against counting one crash twice.
+func TestSimultaneousCrashesCountOnce(t *testing.T) {
 	var e crashes.Evidence
 	for i := range 6 {
 		for _, ran := range []float64{0.01, 0.02, 2} {
 			e = e.With(content("popular"), crash(fmt.Sprint("w", i), 5+float64(i)/100, ran), start)
 		}
 	}
-	require.Empty(t, judged(e, "popular"))
+	require.Empty(t, crashCounts(e, "popular"))
 	again := evidenceOf(
 		reported{"x", crash("w1", 1, 0.1)}, reported{"x", crash("w1", 1.3, 0.4)}, reported{"x", crash("w1", 0.8, 0.1)},
 	)
-	require.Empty(t, judged(again, "x"))
+	require.Empty(t, crashCounts(again, "x"))
 	overlapping := evidenceOf(reported{"x", crash("w1", 1, 0.5)}, reported{"x", crash("w2", 2, 1.5)}, reported{"x", crash("w3", 3, 2.5)})
-	require.Equal(t, map[string]int{"x": 2}, judged(overlapping, "x"), "each was sent before the end before")
+	require.Equal(t, map[string]int{"x": 2}, crashCounts(overlapping, "x"), "each was sent before the previous crash")
 	overlapping = overlapping.With(content("x"), crash("w4", 4, 3.5), start)
-	require.Equal(t, map[string]int{"x": 3}, judged(overlapping, "x"), "but a fourth one is no chance")
+	require.Equal(t, map[string]int{"x": 3}, crashCounts(overlapping, "x"), "a fourth crash at a distinct moment counts")
 }
 
-// TestWhoSharedWorkersIsNotBlamed lets requests share one, two or all ends with the one that
-// causes them.
-func TestWhoSharedWorkersIsNotBlamed(t *testing.T) {
+// TestRequestsSharingWorkersAreNotBlamed guards against blaming requests that shared one, two or
+// all crashes with the request that causes them.
+func TestRequestsSharingWorkersAreNotBlamed(t *testing.T) {
 	e := evidenceOf(
 		reported{"bad", crash("w1", 1, 0.1)}, reported{"bad", crash("w2", 2, 0.1)}, reported{"bad", crash("w3", 3, 0.1)},
 		reported{"once", crash("w1", 1, 0.3)},
 		reported{"twice", crash("w2", 2, 0.3)}, reported{"twice", crash("w3", 3, 0.3)},
 	)
-	require.Equal(t, map[string]int{"bad": 3}, judged(e, "bad", "once", "twice"))
+	require.Equal(t, map[string]int{"bad": 3}, crashCounts(e, "bad", "once", "twice"))
 
 	for i := range 3 {
 		c := crash(fmt.Sprint("w", i+1), float64(i+1), 0.05)
 		c.AnswerStarted = true
 		e = e.With(content("long answered"), c, start)
 	}
-	require.NotContains(t, judged(e, "long answered"), "long answered", "another one had just come to each")
+	require.NotContains(t, crashCounts(e, "long answered"), "long answered", "each worker had a request whose answer had not started")
 
-	// One that shares all ends is not told from it at first. The next end tells.
+	// A request that shares all crashes cannot be distinguished until the next one.
 	for i := range 3 {
 		e = e.With(content("shadow"), crash(fmt.Sprint("w", i+1), float64(i+1), 0.05), start)
 	}
 	e = e.With(content("bad"), crash("w4", 4, 0.1), start)
-	require.Equal(t, map[string]int{"bad": 3}, judged(e, "bad", "shadow"))
+	require.Equal(t, map[string]int{"bad": 3}, crashCounts(e, "bad", "shadow"))
 }
 
-// TestRequestThatHadBegunMayEndWorkers has one end workers late, with nothing new beside it.
-func TestRequestThatHadBegunMayEndWorkers(t *testing.T) {
+// TestRequestWithStartedAnswerCanCrashWorkers has a request crash workers late, while no other
+// request is in progress there.
+func TestRequestWithStartedAnswerCanCrashWorkers(t *testing.T) {
 	var e crashes.Evidence
 	for i := range 3 {
 		c := crash(fmt.Sprint("w", i), float64(2*i), 0.5)
 		c.AnswerStarted = true
 		e = e.With(content("late"), c, start)
 	}
-	require.Equal(t, map[string]int{"late": 3}, judged(e, "late"))
+	require.Equal(t, map[string]int{"late": 3}, crashCounts(e, "late"))
 }
 
-// TestEvidenceIsBoundedAndAges reports ends under more requests than are remembered, and
-// lets an hour pass.
-func TestEvidenceIsBoundedAndAges(t *testing.T) {
+// TestEvidenceIsBoundedAndExpires reports more requests than are remembered, and lets the
+// retention pass.
+func TestEvidenceIsBoundedAndExpires(t *testing.T) {
 	var e crashes.Evidence
 	for i := range 5000 {
 		now := start.Add(time.Duration(i) * 10 * time.Millisecond)
@@ -133,13 +134,13 @@
 	for i := range 100 {
 		e = e.With(content("bad"), crash("w", float64(60+2*i), 0.1), start.Add(time.Minute))
 	}
-	require.Equal(t, map[string]int{"bad": 3}, judged(e, "bad"))
+	require.Equal(t, map[string]int{"bad": 3}, crashCounts(e, "bad"))
 	require.Zero(t, e.Expire(start.Add(2*time.Hour)).Len())
-	require.Zero(t, crashes.Evidence{}.With("", crash("w", 1, 0.1), start).Len(), "a request that is not known by content")
+	require.Zero(t, crashes.Evidence{}.With("", crash("w", 1, 0.1), start).Len(), "a request of unknown content")
 }
 
-// TestEvidenceHangsOnNoOrder brings the same reports in any order, and some twice.
-func TestEvidenceHangsOnNoOrder(t *testing.T) {
+// TestEvidenceDoesNotDependOnOrder reports the same crashes in random order, one of them twice.
+func TestEvidenceDoesNotDependOnOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "reports")
 		all := make([]reported, 0, n)
@@ -150,14 +151,14 @@
 					float64(rapid.IntRange(0, 5).Draw(t, "at")*3), rapid.Float64Range(0, 8).Draw(t, "ran")),
 			})
 		}
-		want := judged(evidenceOf(all...), "a", "b", "c")
+		want := crashCounts(evidenceOf(all...), "a", "b", "c")
 		shuffled := rapid.Permutation(append(all, all[0])).Draw(t, "order")
-		require.Equal(t, want, judged(evidenceOf(shuffled...), "a", "b", "c"))
+		require.Equal(t, want, crashCounts(evidenceOf(shuffled...), "a", "b", "c"))
 	})
 }
 
-// TestAttemptCountsOnce reports one attempt again and again, as if it ended later each time,
-// beside others that it is told from.
+// TestAttemptCountsOnce reports one attempt repeatedly, with a later time of the crash each time,
+// next to another request's separate attempts.
 func TestAttemptCountsOnce(t *testing.T) {
 	var e crashes.Evidence
 	for i := range 5 {
@@ -167,5 +168,5 @@
 		c.Attempt, c.Worker = fmt.Sprint("r2/", i), ident.Target(fmt.Sprint("w", i))
 		e = e.With(content("sent anew"), c, start)
 	}
-	require.Equal(t, map[string]int{"sent anew": 3}, judged(e, "held up", "sent anew"))
+	require.Equal(t, map[string]int{"sent anew": 3}, crashCounts(e, "held up", "sent anew"))
 }
--- a/core/crashes/list.go
+++ b/core/crashes/list.go
@@ -10,49 +10,49 @@
 	"github.com/yardhall/yardhall/core/table"
 )
 
-// maxEntries bounds a List: each costs some 40 bytes in memory and, while hosts hold
-// different lists, in each poll. Chosen, not measured.
+// maxEntries bounds a List: each entry takes about 40 bytes in memory and, while hosts hold
+// different lists, in each poll.
 const maxEntries = 128
 
-// Entry says of a request how many workers ended under it in a row, the last one at At, or
-// with Ends 0 that a worker answered it at At after all.
+// Entry states that Crashes consecutive worker crashes are attributed to a request, the last one
+// at At, or, with Crashes 0, that a worker answered it at At.
 type Entry struct {
 	Content Content
 	Crashes int
 	At      time.Time
 }
 
-// newer tells whether an entry says more than another one of the same request. Times of
-// other hosts lack what a message was on its way, so that nearly equal ones say nothing;
-// then more ends win, everywhere alike.
-func (e Entry) newer(have Entry) bool {
-	if d := e.At.Sub(have.At); d.Abs() > sameEnd {
+// supersedes reports whether an entry replaces another one of the same request. Times from other
+// hosts do not include the time in transit, so between nearly equal times the entry with more
+// crashes wins, on every host alike.
+func (e Entry) supersedes(have Entry) bool {
+	if d := e.At.Sub(have.At); d.Abs() > sameCrashTolerance {
 		return d > 0
 	}
 	return e.Crashes > have.Crashes
 }
 
-// List are the requests under which workers ended, as this host knows them. Lists of several
-// hosts are joined in any order, and as often as they are sent, to the same. It is
-// immutable; the zero value is empty.
+// List holds the requests that crash workers, as this host knows them. Merging lists of several
+// hosts gives the same result in any order and with any repetition. It is immutable; the zero
+// value is empty.
 type List struct {
 	byContent table.Table[Content, Entry]
-	// Key names what the list says; 0 where it says nothing.
+	// Key is a hash of the entries; 0 for an empty list.
 	Key hash.Key
 }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (l List) Len() int { return l.byContent.Len() }
 
-// Entries are all entries, in the order of their contents.
+// Entries returns all entries, ordered by content.
 func (l List) Entries() []Entry { return l.byContent.Values() }
 
-// With adds entries where they say more than those held, and forgets what is long ago. Where
-// there are too many, those with the fewest ends and then the oldest go first.
+// With merges entries that supersede those held, and drops expired ones. Beyond maxEntries,
+// entries with the fewest crashes are dropped first, among them the oldest.
 func (l List) With(now time.Time, entries ...Entry) List {
 	for _, e := range entries {
 		have, known := l.byContent.Get(e.Content)
-		if e.Content == "" || now.Sub(e.At) > Retention || known && !e.newer(have) {
+		if e.Content == "" || now.Sub(e.At) > Retention || known && !e.supersedes(have) {
 			continue
 		}
 		if e.At.After(now) {
@@ -60,13 +60,13 @@
 		}
 		l.byContent = l.byContent.With(e.Content, e)
 	}
-	l = l.bounded(now)
+	l = l.pruned(now)
 	l.Key = l.key()
 	return l
 }
 
-// bounded drops what is long ago, and what is too much.
-func (l List) bounded(now time.Time) List {
+// pruned drops expired entries, and the least important ones beyond maxEntries.
+func (l List) pruned(now time.Time) List {
 	for content, e := range l.byContent.All() {
 		if now.Sub(e.At) > Retention {
 			l.byContent = l.byContent.Without(content)
@@ -84,7 +84,7 @@
 	return l
 }
 
-// key hashes which requests stand in the list, and with how many ends.
+// key hashes the contents and crash counts of the entries.
 func (l List) key() hash.Key {
 	if l.byContent.Len() == 0 {
 		return 0
@@ -96,8 +96,8 @@
 	return hash.Of(parts...)
 }
 
-// WithAnswer takes that a worker answered a request after all. Of one that is not listed it
-// says nothing.
+// WithAnswer records that a worker answered a request; it has no effect on a request that is not
+// listed.
 func (l List) WithAnswer(content Content, now time.Time) List {
 	if e, ok := l.byContent.Get(content); ok && e.Crashes > 0 {
 		return l.With(now, Entry{Content: content, At: now})
@@ -105,14 +105,14 @@
 	return l
 }
 
-// AsWatched returns an entry as it stands while its request is only watched.
+// AsWatched returns the entry with its crashes capped below CrashesToRefuse, so that the request
+// is watched but not refused yet.
 func (e Entry) AsWatched() Entry {
-	e.Crashes = min(e.Crashes, endsToWatch)
+	e.Crashes = min(e.Crashes, crashesToWatch)
 	return e
 }
 
-// Decided are the entries that decide what is refused: without those of requests that are
-// only watched.
+// Decided returns the list without the entries of requests that are only watched.
 func (l List) Decided() List {
 	var out List
 	for content, e := range l.byContent.All() {
@@ -124,12 +124,12 @@
 	return out
 }
 
-// Get returns what the list says of a request.
+// Get returns the entry of a request.
 func (l List) Get(content Content) (Entry, bool) { return l.byContent.Get(content) }
 
-// Refused tells whether a request is refused, and until when.
+// Refused reports whether a request is refused, and until when.
 func (l List) Refused(content Content, now time.Time) (until time.Time, refused bool) {
 	e, ok := l.byContent.Get(content)
-	until = e.At.Add(refuseFor)
+	until = e.At.Add(refusalDuration)
 	return until, ok && e.Crashes >= CrashesToRefuse && now.Before(until)
 }
--- a/core/crashes/list_test.go
+++ b/core/crashes/list_test.go
@@ -13,13 +13,13 @@
 	"github.com/yardhall/yardhall/core/crashes"
 )
 
-func entry(name string, ends int, at time.Time) crashes.Entry {
-	return crashes.Entry{Content: content(name), Crashes: ends, At: at}
+func entry(name string, count int, at time.Time) crashes.Entry {
+	return crashes.Entry{Content: content(name), Crashes: count, At: at}
 }
 
-// TestRefusalEndsAndBeginsAgain follows a request that is refused, let through after ten
-// minutes, ends another worker and is refused again at once; answered, it is let through.
-func TestRefusalEndsAndBeginsAgain(t *testing.T) {
+// TestRefusalExpiresAndResumes guards against refusing a request too long, not refusing it at
+// once after another crash, and refusing it after an answer.
+func TestRefusalExpiresAndResumes(t *testing.T) {
 	refused := func(l crashes.List, now time.Time) bool {
 		until, refused := l.Refused(content("bad"), now)
 		require.True(t, !refused || until.After(now))
@@ -38,15 +38,14 @@
 	answered := l.With(later.Add(time.Minute), entry("bad", 0, later.Add(time.Minute)))
 	require.False(t, refused(answered, later.Add(time.Minute)))
 	old := answered.With(later.Add(time.Minute), entry("bad", 3, later))
-	require.Equal(t, answered.Key, old.Key, "what is older than the answer says nothing")
+	require.Equal(t, answered.Key, old.Key, "a crash before the answer does not count")
 	require.Zero(t, l.With(later.Add(2*time.Hour)).Len())
 	require.Zero(t, l.With(later.Add(2*time.Hour)).Key)
 	future := crashes.List{}.With(start, entry("bad", 3, start.Add(time.Hour)))
-	require.False(t, refused(future, start.Add(11*time.Minute)), "of a host whose clock is ahead")
+	require.False(t, refused(future, start.Add(11*time.Minute)), "a future time, from a host whose clock is ahead")
 }
 
-// TestListIsBounded fills a list with more requests than it holds: those that are refused
-// stay.
+// TestListIsBounded guards against dropping refused requests when the list overflows.
 func TestListIsBounded(t *testing.T) {
 	var l crashes.List
 	for i := range 100 {
@@ -59,9 +58,9 @@
 	require.Equal(t, 100, l.Decided().Len())
 }
 
-// TestListsJoinInAnyOrder has hosts send their lists to each other in any order, as often as
-// they like, with ages that lack up to 100 ms at each hop: all come to refuse the same.
-func TestListsJoinInAnyOrder(t *testing.T) {
+// TestListsMergeInAnyOrder has hosts exchange lists in random order, with ages up to 100 ms too
+// low at each hop: all must end with the same list.
+func TestListsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const hosts = 4
 		lists := make([]crashes.List, hosts)
--- a/core/crashes/observer.go
+++ b/core/crashes/observer.go
@@ -10,77 +10,77 @@
 	"github.com/yardhall/yardhall/core/table"
 )
 
-// An attempt that breaks off alone shows little: an answer may be lost, a connection reset,
-// a zone cut off. It counts as a crash once the worker's process is known to have ended; a
-// sign that the process lives clears all attempts that broke off there.
+// An interrupted attempt alone proves no crash: an answer may be lost, a connection reset, a zone
+// partitioned. It counts as a crash once the worker's process is known to have exited; proof that
+// the process is alive clears its interrupted attempts.
 const (
-	// suspectLifetime is how long an attempt that broke off waits for the proof that its
-	// worker ended: the time that one needs to be back and register. Chosen, not measured.
+	// suspectLifetime is how long an interrupted attempt waits for proof that its worker's
+	// process exited: the time that a worker needs to restart and register.
 	suspectLifetime = 8 * time.Second
-	// askInterval is how long proof that was asked for serves all attempts: those that are
-	// in progress when a worker ends break off together. Chosen, not measured.
-	askInterval = 100 * time.Millisecond
-	// maxSuspects bounds those that wait: the requests of a host at a few full engines.
+	// probeInterval is how long one probe serves all attempts at a process: those in progress
+	// when a worker crashes are interrupted together.
+	probeInterval = 100 * time.Millisecond
+	// maxSuspects bounds the interrupted attempts that wait for proof: a host's requests at a few
+	// full workers.
 	maxSuspects = 256
-	// reportLifetime is how long a crash is reported, in some messages one after the other,
-	// as one may be lost.
+	// reportLifetime is how long a crash is reported, in several successive messages, as one may
+	// be lost.
 	reportLifetime = 3 * time.Second
-	// maxReports bounds those reported together: as many as an engine has slots, four times
-	// over. Chosen, not measured.
+	// maxReports bounds the crashes reported together: four times the slots of a worker.
 	maxReports = 256
 )
 
-// Suspect is an attempt that broke off, perhaps as its worker ended. Life tells processes of
-// one worker apart.
+// Suspect is an interrupted attempt whose worker may have crashed; Incarnation is that of the
+// worker's process.
 type Suspect struct {
-	Content Content
-	Boot    uint64
-	Crash   Crash
+	Content     Content
+	Incarnation uint64
+	Crash       Crash
 }
 
-func (s Suspect) isAt(worker ident.Target, life uint64) bool {
-	return s.Crash.Worker == worker && s.Boot == life
+func (s Suspect) isOfProcess(worker ident.Target, incarnation uint64) bool {
+	return s.Crash.Worker == worker && s.Incarnation == incarnation
 }
 
-// Observer is what one host sees of ends of workers. It is immutable; the zero value has
-// seen none.
+// Observer tracks the worker crashes that one host sees itself. It is immutable; the zero value
+// has seen none.
 type Observer struct {
-	// suspects are never changed in place.
+	// suspects is never modified in place.
 	suspects []Suspect
 	reports  Reports
 }
 
-// Reports are the crashes seen lately.
+// Reports returns the crashes seen recently.
 func (o Observer) Reports() Reports { return o.reports }
 
-// ProbeRequested tells whether an attempt broke off at a worker's process a moment ago, so that proof
-// has been asked for.
-func (o Observer) ProbeRequested(worker ident.Target, life uint64, now time.Time) bool {
+// ProbeRequested reports whether an attempt at the worker's process was interrupted within
+// probeInterval, so that a probe is already under way.
+func (o Observer) ProbeRequested(worker ident.Target, incarnation uint64, now time.Time) bool {
 	return slices.ContainsFunc(o.suspects, func(s Suspect) bool {
-		return s.isAt(worker, life) && now.Sub(s.Crash.EndedAt) < askInterval
+		return s.isOfProcess(worker, incarnation) && now.Sub(s.Crash.EndedAt) < probeInterval
 	})
 }
 
-// WithSuspect adds an attempt that broke off, and drops those that have waited too long.
+// WithSuspect adds an interrupted attempt and drops expired ones.
 func (o Observer) WithSuspect(s Suspect, now time.Time) Observer {
-	kept := slices.DeleteFunc(slices.Clone(o.suspects), func(old Suspect) bool { return old.over(now) })
+	kept := slices.DeleteFunc(slices.Clone(o.suspects), func(old Suspect) bool { return old.expired(now) })
 	kept = append(kept, s)
 	o.suspects = kept[max(0, len(kept)-maxSuspects):]
 	return o
 }
 
-func (s Suspect) over(now time.Time) bool { return now.Sub(s.Crash.EndedAt) > suspectLifetime }
+func (s Suspect) expired(now time.Time) bool { return now.Sub(s.Crash.EndedAt) > suspectLifetime }
 
-// WithProcessExit takes the proof that a worker's process ended: the attempts that broke off there
-// were in progress then. It also returns how many there were.
-func (o Observer) WithProcessExit(worker ident.Target, life uint64, now time.Time) (Observer, int) {
+// WithProcessExit records proof that a worker's process exited: the attempts interrupted there
+// count as crashes. It also returns their number.
+func (o Observer) WithProcessExit(worker ident.Target, incarnation uint64, now time.Time) (Observer, int) {
 	n := 0
 	var left []Suspect
 	for _, s := range o.suspects {
 		switch {
-		case !s.isAt(worker, life):
+		case !s.isOfProcess(worker, incarnation):
 			left = append(left, s)
-		case !s.over(now):
+		case !s.expired(now):
 			o.reports = o.reports.With(Report{Content: s.Content, Crash: s.Crash, SeenAt: now}, now)
 			n++
 		}
@@ -89,14 +89,14 @@
 	return o, n
 }
 
-// WithProcessAlive takes the proof that a worker's process went on until a time: what broke off there
-// before did so for another reason.
-func (o Observer) WithProcessAlive(worker ident.Target, life uint64, until time.Time) Observer {
+// WithProcessAlive records proof that a worker's process was alive at the given time: attempts
+// interrupted there before had another cause.
+func (o Observer) WithProcessAlive(worker ident.Target, incarnation uint64, at time.Time) Observer {
 	if len(o.suspects) == 0 {
 		return o
 	}
 	o.suspects = slices.DeleteFunc(slices.Clone(o.suspects), func(s Suspect) bool {
-		return s.isAt(worker, life) && s.Crash.EndedAt.Before(until)
+		return s.isOfProcess(worker, incarnation) && s.Crash.EndedAt.Before(at)
 	})
 	return o
 }
@@ -108,42 +108,42 @@
 	SeenAt  time.Time
 }
 
-// isSame tells whether two reports are of one attempt.
+// isSame reports whether two reports are of the same attempt.
 func (r Report) isSame(other Report) bool {
-	return r.Content == other.Content && r.Crash.isSame(other.Crash)
+	return r.Content == other.Content && r.Crash.isSameAttempt(other.Crash)
 }
 
-// Reports are crashes seen lately. It is immutable; the zero value is empty.
+// Reports holds the crashes seen recently. It is immutable; the zero value is empty.
 type Reports struct {
-	// bySeen holds them in the order in which they came, by their number.
-	bySeen table.Table[uint64, Report]
-	// Total counts all that ever came.
+	// byNumber holds the reports by their number, in order of arrival.
+	byNumber table.Table[uint64, Report]
+	// Total is the number of reports ever added.
 	Total uint64
 }
 
-// With adds a report, and forgets those that are reported no more.
-func (r Reports) With(one Report, now time.Time) Reports {
-	for _, known := range r.bySeen.All() {
-		if known.isSame(one) {
+// With adds a report and drops expired ones.
+func (r Reports) With(report Report, now time.Time) Reports {
+	for _, known := range r.byNumber.All() {
+		if known.isSame(report) {
 			return r
 		}
 	}
-	for n, old := range r.bySeen.All() {
-		if now.Sub(old.SeenAt) > reportLifetime || r.bySeen.Len() >= maxReports {
-			r.bySeen = r.bySeen.Without(n)
+	for n, old := range r.byNumber.All() {
+		if now.Sub(old.SeenAt) > reportLifetime || r.byNumber.Len() >= maxReports {
+			r.byNumber = r.byNumber.Without(n)
 		}
 	}
 	r.Total++
-	r.bySeen = r.bySeen.With(r.Total, one)
+	r.byNumber = r.byNumber.With(r.Total, report)
 	return r
 }
 
-// Recent are those to be reported now.
+// Recent returns the crashes still to be reported.
 func (r Reports) Recent(now time.Time) []Report {
 	var out []Report
-	for _, one := range r.bySeen.All() {
-		if now.Sub(one.SeenAt) <= reportLifetime {
-			out = append(out, one)
+	for _, report := range r.byNumber.All() {
+		if now.Sub(report.SeenAt) <= reportLifetime {
+			out = append(out, report)
 		}
 	}
 	return out
--- a/core/crashes/observer_test.go
+++ b/core/crashes/observer_test.go
@@ -12,11 +12,11 @@
 	"github.com/yardhall/yardhall/core/crashes"
 )
 
-// TestSuspectsWaitForProof has attempts break off at two processes of a worker and at another
-// worker: each end and each sign of life is of one process.
-func TestSuspectsWaitForProof(t *testing.T) {
+// TestSuspectsNeedProofOfProcessExit guards against applying the proof for one process of a
+// worker to its other processes or to other workers.
+func TestSuspectsNeedProofOfProcessExit(t *testing.T) {
 	suspect := func(name, worker string, life uint64) crashes.Suspect {
-		return crashes.Suspect{Content: content(name), Boot: life, Crash: crash(worker, 1, 0.5)}
+		return crashes.Suspect{Content: content(name), Incarnation: life, Crash: crash(worker, 1, 0.5)}
 	}
 	now := start.Add(time.Second)
 	var o crashes.Observer
@@ -24,10 +24,10 @@
 		o = o.WithSuspect(s, now)
 	}
 	require.True(t, o.ProbeRequested("w1", 1, now))
-	require.False(t, o.ProbeRequested("w1", 1, now.Add(time.Second)), "another one that breaks off asks anew")
+	require.False(t, o.ProbeRequested("w1", 1, now.Add(time.Second)), "the probe is outdated")
 	require.False(t, o.ProbeRequested("w2", 1, now))
 	o = o.WithProcessAlive("w1", 1, now)
-	require.True(t, o.ProbeRequested("w1", 1, now), "it lived until then")
+	require.True(t, o.ProbeRequested("w1", 1, now), "the proof is not later than the interruption")
 	o = o.WithProcessAlive("w1", 1, now.Add(time.Millisecond))
 	require.False(t, o.ProbeRequested("w1", 1, now))
 	o, n := o.WithProcessExit("w1", 0, now)
@@ -36,11 +36,11 @@
 	o, n = o.WithProcessExit("w1", 0, now)
 	require.Zero(t, n)
 	o, n = o.WithProcessExit("w2", 0, now.Add(time.Minute))
-	require.Zero(t, n, "the proof came too late")
+	require.Zero(t, n, "the suspects have expired")
 	require.Empty(t, o.Reports().Recent(now.Add(time.Minute)))
 }
 
-// TestObserverIsBounded breaks off and reports more than is kept.
+// TestObserverIsBounded adds more suspects and reports than are kept.
 func TestObserverIsBounded(t *testing.T) {
 	var o crashes.Observer
 	for i := range 1000 {
@@ -53,6 +53,6 @@
 		r = r.With(crashes.Report{Content: content(fmt.Sprint("more ", i)), SeenAt: start}, start)
 	}
 	require.LessOrEqual(t, len(r.Recent(start)), 256)
-	require.Equal(t, r.Total, r.With(r.Recent(start)[3], start).Total, "the same again")
+	require.Equal(t, r.Total, r.With(r.Recent(start)[3], start).Total, "a duplicate report")
 	require.Empty(t, r.Recent(start.Add(time.Minute)))
 }
--- a/core/host/inforce.go
+++ b/core/host/inforce.go
@@ -31,7 +31,7 @@
 // reply confirms the version held here.
 func (t *transition) grantLease(from ident.Host, m Poll) {
 	t.seeded.inForce = t.seeded.inForce.WithGrant(inforce.Grant{
-		From: from, Boot: m.Boot, OldestInForce: m.InForce, SentVersion: t.heldConfig().Version,
+		From: from, Incarnation: m.Boot, OldestInForce: m.InForce, SentVersion: t.heldConfig().Version,
 	}, t.now)
 }
 
--- a/core/host/listedcrashes.go
+++ b/core/host/listedcrashes.go
@@ -53,7 +53,7 @@
 		return
 	}
 	asked := t.crashes.observer.ProbeRequested(c.target, c.boot, t.now)
-	t.crashes.observer = t.crashes.observer.WithSuspect(crashes.Suspect{Content: c.content, Boot: c.boot, Crash: crashes.Crash{
+	t.crashes.observer = t.crashes.observer.WithSuspect(crashes.Suspect{Content: c.content, Incarnation: c.boot, Crash: crashes.Crash{
 		Attempt: fmt.Sprintf("%s/%d", c.req.ID, c.attempt), Worker: c.target, SentAt: c.sentAt, EndedAt: t.now, AnswerStarted: r.AnswerStarted,
 	}}, t.now)
 	if !asked {
--- a/core/host/zones.go
+++ b/core/host/zones.go
@@ -147,7 +147,7 @@
 // the reply confirms those held here.
 func (t *transition) grantZonesLease(from ident.Host, m Poll) {
 	t.seeded.zonesInForce = t.seeded.zonesInForce.WithGrant(inforce.Grant{
-		From: from, Boot: m.Boot, OldestInForce: m.ZonesInForce, SentVersion: zonesVersion(t.heldZones().Revision),
+		From: from, Incarnation: m.Boot, OldestInForce: m.ZonesInForce, SentVersion: zonesVersion(t.heldZones().Revision),
 	}, t.now)
 }
 
--- a/core/requests/crashes.go
+++ b/core/requests/crashes.go
@@ -74,7 +74,7 @@
 		return
 	}
 	asked := t.observer.ProbeRequested(c.target, c.life, t.now)
-	t.observer = t.observer.WithSuspect(crashes.Suspect{Content: c.content, Boot: c.life, Crash: crashes.Crash{
+	t.observer = t.observer.WithSuspect(crashes.Suspect{Content: c.content, Incarnation: c.life, Crash: crashes.Crash{
 		Attempt: fmt.Sprintf("%s/%d", c.req.ID, c.attempt), Worker: c.target, SentAt: c.sentAt, EndedAt: t.now, AnswerStarted: r.AnswerStarted,
 	}}, t.now)
 	switch {
