--- a/core/inforce/inforce_test.go
+++ b/core/inforce/inforce_test.go
@@ -18,12 +18,12 @@
 	view     = inforce.HostInfo{Self: "leader", Started: start.Add(-time.Hour), LeaderSince: start.Add(-time.Hour)}
 )
 
-// granted has a host poll at a time, hold a version and be sent another.
+// granted records a poll of a host that has one version in force and is sent another.
 func granted(s inforce.State, inForce, sent uint64, at time.Time) inforce.State {
-	return s.WithGrant(inforce.Grant{From: "entry", Boot: 1, OldestInForce: config.Version(inForce), SentVersion: config.Version(sent)}, at)
+	return s.WithGrant(inforce.Grant{From: "entry", Incarnation: 1, OldestInForce: config.Version(inForce), SentVersion: config.Version(sent)}, at)
 }
 
-func TestAnswerWaitsForAHostThatMayServeByAnOlderTable(t *testing.T) {
+func TestWriteWaitsForHostWithOlderTable(t *testing.T) {
 	s := granted(inforce.State{}, 1, 1, start)
 	s = s.WithCommit(start).WithPendingWrite(inforce.PendingWrite{ID: "w", Version: 2}, start)
 	s, released := s.ReleaseWrites(settings, view, start)
@@ -36,7 +36,7 @@
 	require.Zero(t, s.PendingWrites())
 }
 
-func TestSilentHostHoldsAnAnswerUpForMaxHoldAtMost(t *testing.T) {
+func TestSilentHostDelaysWriteByAtMostMaxAckDelay(t *testing.T) {
 	s := granted(inforce.State{}, 1, 1, start)
 	s = s.WithCommit(start)
 	ok, waitsFor := s.WillBeInForce(2, settings, view, start.Add(settings.MaxAckDelay()-1))
@@ -44,17 +44,17 @@
 	require.EqualValues(t, "entry", waitsFor)
 	ok, _ = s.WillBeInForce(2, settings, view, start.Add(settings.MaxAckDelay()))
 	require.True(t, ok)
-	require.GreaterOrEqual(t, settings.MaxAckDelay()+settings.InForceWithin, settings.KeyLease, "its lease ends in time")
+	require.GreaterOrEqual(t, settings.MaxAckDelay()+settings.InForceWithin, settings.KeyLease, "its lease ends before the table must be in force")
 }
 
-func TestAnotherProcessAtTheAddressHoldsNoLease(t *testing.T) {
+func TestNewProcessHoldsNoLease(t *testing.T) {
 	s := granted(inforce.State{}, 1, 1, start).WithCommit(start)
-	s = s.WithGrant(inforce.Grant{From: "entry", Boot: 2, OldestInForce: 0, SentVersion: 2}, start)
+	s = s.WithGrant(inforce.Grant{From: "entry", Incarnation: 2, OldestInForce: 0, SentVersion: 2}, start)
 	ok, _ := s.WillBeInForce(2, settings, view, start)
-	require.True(t, ok, "it was never sent an older table")
+	require.True(t, ok, "the new process was never sent an older table")
 }
 
-func TestOldestCountsHostsWithALease(t *testing.T) {
+func TestOldestInForceCountsLeaseHolders(t *testing.T) {
 	s := granted(inforce.State{}, 1, 1, start)
 	require.EqualValues(t, 1, s.OldestInForce(5, settings, start.Add(settings.KeyLease-1)))
 	require.EqualValues(t, 5, s.OldestInForce(5, settings, start.Add(settings.KeyLease)))
@@ -65,7 +65,7 @@
 	require.True(t, s.ReportDue(5, settings, start.Add(time.Second)))
 }
 
-func TestReplicaThatStartsKnowsNobody(t *testing.T) {
+func TestStartingReplicaWaitsForWarmUp(t *testing.T) {
 	started := inforce.HostInfo{Self: "leader", Started: start, LeaderSince: start}
 	ok, waitsFor := inforce.State{}.WillBeInForce(2, settings, started, start)
 	require.False(t, ok)
--- a/core/inforce/lease.go
+++ b/core/inforce/lease.go
@@ -8,21 +8,21 @@
 	"github.com/yardhall/yardhall/core/config"
 )
 
-// lease is what a host knows of one that it sent confirmations.
+// lease is what a host knows about another host to which it has sent confirmations.
 type lease struct {
-	boot uint64
-	// inForce is the oldest table by which the other host, or any that it granted a
-	// lease in turn, may serve, as it reports.
+	incarnation uint64
+	// inForce is the oldest table that the other host, or any host to which it granted a lease in
+	// turn, may still apply, as it reports.
 	inForce config.Version
-	// newestSent is the newest version that it was sent, last at sentAt; olderSentAt is
-	// when it was last sent an older one.
+	// newestSent is the newest version sent, most recently at sentAt; olderSentAt is when an
+	// older one was last sent.
 	newestSent  config.Version
 	sentAt      time.Time
 	olderSentAt time.Time
 }
 
-// lastSentBefore is when the host was last sent a confirmation of a table older than v;
-// zero for never.
+// lastSentBefore returns when the host was last sent a confirmation of a table older than v; zero
+// if never.
 func (l lease) lastSentBefore(v config.Version) time.Time {
 	if l.newestSent < v {
 		return l.sentAt
@@ -30,7 +30,7 @@
 	return l.olderSentAt
 }
 
-// withSent returns the lease after the host was sent a confirmation of v.
+// withSent returns the lease after a confirmation of v was sent.
 func (l lease) withSent(v config.Version, now time.Time) lease {
 	if v > l.newestSent {
 		if l.newestSent > 0 {
