--- a/core/hubs/hubs.go
+++ b/core/hubs/hubs.go
@@ -1,17 +1,17 @@
 // Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
 
-// Package hubs decides which entry hosts of a large fleet are hubs, and which of them a
-// host polls. Hubs poll replicas for all others, so that replicas serve a few hosts only.
+// Package hubs decides which entry hosts of a large fleet are hubs, and which hubs a host
+// polls. Hubs poll replicas on behalf of all other hosts, so that replicas serve few clients.
 //
-// It owns, on a replica, the list that it names (Naming), and on an entry host the hubs
-// that it polls (Choice). It relies on core/host for the live entry hosts and for when each
-// hub replied; how hubs serve their clients is core/host's.
+// A replica keeps the list of hubs that it selects (Selection), an entry host the hubs that it
+// polls (PollSet). Package core/host provides the live entry hosts and the times of the hubs'
+// replies, and serves the clients of hubs.
 //
 // # Usage
 //
-//	n = n.Renewed(liveHosts, above, now)          // on a replica
-//	c = c.Renewed(list, self, lastUseful, timeout, now) // on an entry host
-//	for _, hub := range c.Polled() { ... }
+//	s = s.Updated(liveHosts, threshold, now)                 // on a replica
+//	p = p.Updated(list, self, lastUsefulReply, timeout, now) // on an entry host
+//	for _, hub := range p.Polled() { ... }
 package hubs
 
 import (
@@ -23,93 +23,90 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// Host is an entry host of a seeded fleet, as it is reported to others. Its fields travel
-// by their names.
+// Host is an entry host of a seeded fleet, as reported to other hosts. The field names are part
+// of the wire format.
 type Host struct {
 	Host ident.Host
 	Zone ident.Zone
-	// Relay is where it takes workers' heartbeats; empty for nowhere.
+	// Relay is the address at which the host accepts workers' heartbeats; empty if it accepts
+	// none.
 	Relay string
 }
 
-// List is a list of hosts with the hash of their names, which is 0 for none known. It is
-// never changed in place.
+// List is a list of hosts with a hash of their names; the hash is 0 if no list is known. It is
+// never modified in place.
 type List struct {
 	Hosts []Host
 	Key   hash.Key
 }
 
-// Has tells whether a host stands on the list.
+// Has reports whether a host is on the list.
 func (l List) Has(id ident.Host) bool {
 	return slices.ContainsFunc(l.Hosts, func(h Host) bool { return h.Host == id })
 }
 
-// Len is the number of hosts.
+// Len returns the number of hosts.
 func (l List) Len() int { return len(l.Hosts) }
 
-// Replicas name the hubs once there are more entry hosts than a setting: in each zone those
-// that rank highest among its live entry hosts, by a hash that is the same everywhere. So a
-// new leader names the same ones, and nothing about hubs needs to be kept or agreed on.
+// A replica selects hubs once there are more entry hosts than a configured threshold: in each
+// zone those of its live entry hosts that rank highest by a hash that is the same on every
+// replica. A new leader thus selects the same hubs, and no state about them has to be replicated.
 //
-// While hosts turn to hubs, they no longer poll the replica and their hubs do not yet report
-// them, so that it would name other hubs, or none; so another list takes the place of the
-// one in force only once it has been the same for Settle.
-//
-// Inputs: the live entry hosts with their zones, the number above which hubs are named.
-// Measured at 300 machines and 3,000 workers: 0.98 of the requests served and the busiest
-// replica at 46% of its processor; 0.89 and 87% without Settle, 0.21 without hubs.
+// While hosts switch to hubs, they have stopped polling the replica and are not yet reported by
+// their hubs, so the replica would select other hubs, or none. A changed list therefore replaces
+// the current one only after it has been the same for SettleTime.
 const (
-	// DefaultThreshold is the number of entry hosts above which hubs are named. They stay
-	// until there are fewer than stayPercent of that. Chosen, not measured.
+	// DefaultThreshold is the number of entry hosts above which hubs are selected. They are kept
+	// until the number falls to keepPercent of the threshold.
 	DefaultThreshold = 40
-	stayPercent      = 75
-	// hostsPerHub is how many hosts a hub is meant to serve, minPerZone the least number
-	// of hubs in a zone, so that one may be lost. Chosen, not measured.
-	hostsPerHub = 16
-	minPerZone  = 2
-	// SettleTime is how long another list must have been the same: longer than hosts need to
-	// turn to hubs and hubs to report whom they count.
+	keepPercent      = 75
+	// hostsPerHub is the number of hosts that one hub serves, minHubsPerZone the least number of
+	// hubs in a zone, so that one may fail.
+	hostsPerHub    = 16
+	minHubsPerZone = 2
+	// SettleTime is how long a changed list must stay the same: longer than hosts need to switch
+	// to hubs and hubs to report their clients.
 	SettleTime = 2500 * time.Millisecond
-	// percent divides percentages.
-	percent = 100
+	percent    = 100
 )
 
-// Selection is the list of hubs in force on a host: the one that a replica names, or the one
-// that it got. It is immutable; the zero value is none.
+// Selection is the current list of hubs on a host: selected on a replica, received on an entry
+// host. It is immutable; the zero value has no hubs.
 type Selection struct {
 	List
-	// nextKey is the key of the list last made, the same since nextSince.
-	nextKey   hash.Key
-	nextSince time.Time
+	// candidateKey is the key of the list selected last, which has been the same since
+	// candidateSince.
+	candidateKey   hash.Key
+	candidateSince time.Time
 }
 
-// Updated returns the naming of a replica that knows the live entry hosts; above is the
-// number above which hubs are named.
-func (n Selection) Updated(hosts []Host, above int, now time.Time) Selection {
-	if n.Len() > 0 {
-		above = above * stayPercent / percent
+// Updated selects hubs among the live entry hosts that a replica knows, if there are more of them
+// than threshold.
+func (s Selection) Updated(hosts []Host, threshold int, now time.Time) Selection {
+	if s.Len() > 0 {
+		threshold = threshold * keepPercent / percent
 	}
-	next := List{Key: keyOf("hubs", nil)}
-	if len(hosts) > above {
-		next = listOf("hubs", ofEachZone(hosts))
+	candidate := List{Key: listKey("hubs", nil)}
+	if len(hosts) > threshold {
+		candidate = newList("hubs", selectPerZone(hosts))
 	}
-	if next.Key != n.nextKey {
-		n.nextKey, n.nextSince = next.Key, now
+	if candidate.Key != s.candidateKey {
+		s.candidateKey, s.candidateSince = candidate.Key, now
 	}
-	if next.Key == n.Key || n.Len() > 0 && now.Sub(n.nextSince) < SettleTime {
-		return n
+	if candidate.Key == s.Key || s.Len() > 0 && now.Sub(s.candidateSince) < SettleTime {
+		return s
 	}
-	n.List = next
-	return n
+	s.List = candidate
+	return s
 }
 
-// FallbackPeers picks the entry hosts that others may poll where no replica replies.
-func FallbackPeers(hosts []Host) List { return listOf("neighbours", ofEachZone(hosts)) }
+// FallbackPeers selects the entry hosts that others may poll while no replica replies.
+func FallbackPeers(hosts []Host) List { return newList("neighbours", selectPerZone(hosts)) }
 
-// listOf returns hosts with their key; the kind of list is part of it.
-func listOf(kind string, hosts []Host) List { return List{Hosts: hosts, Key: keyOf(kind, hosts)} }
+// newList returns a list of hosts; kind keeps the keys of lists for different purposes apart.
+func newList(kind string, hosts []Host) List { return List{Hosts: hosts, Key: listKey(kind, hosts)} }
 
-func keyOf(kind string, hosts []Host) hash.Key {
+func listKey(kind string, hosts []Host) hash.Key {
 	names := make([]string, 0, len(hosts)+1)
 	names = append(names, kind)
 	for _, h := range hosts {
@@ -118,8 +115,8 @@
 	return hash.Of(names...)
 }
 
-// ofEachZone picks one in hostsPerHub hosts of each zone, and minPerZone at least.
-func ofEachZone(hosts []Host) []Host {
+// selectPerZone selects one in hostsPerHub hosts of each zone, and at least minHubsPerZone.
+func selectPerZone(hosts []Host) []Host {
 	byZone := map[ident.Zone][]Host{}
 	for _, h := range hosts {
 		byZone[h.Zone] = append(byZone[h.Zone], h)
@@ -129,7 +126,7 @@
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
 		inZone := byZone[zone]
 		slices.SortFunc(inZone, func(a, b Host) int { return byRank(key, a, b) })
-		n := max(minPerZone, (len(inZone)+hostsPerHub-1)/hostsPerHub)
+		n := max(minHubsPerZone, (len(inZone)+hostsPerHub-1)/hostsPerHub)
 		for _, h := range inZone[:min(n, len(inZone))] {
 			out = append(out, Host{Host: h.Host, Zone: h.Zone})
 		}
@@ -137,12 +134,13 @@
 	return out
 }
 
-// byRank orders hosts by their rendezvous scores for a key, the highest first.
+// byRank orders hosts by their rendezvous scores for a key, highest first.
 func byRank(key hash.Key, a, b Host) int {
 	return SortOrder(hash.Mix(key, hash.Of(string(a.Host))) > hash.Mix(key, hash.Of(string(b.Host))))
 }
 
-// SortOrder is the result of a comparison where a does, or does not, go first.
+// SortOrder returns the result of a comparison function for sorting: negative if a sorts first,
+// else positive.
 func SortOrder(aFirst bool) int {
 	if aFirst {
 		return -1
--- a/core/hubs/hubs_test.go
+++ b/core/hubs/hubs_test.go
@@ -15,7 +15,7 @@
 
 var start = time.Unix(1000, 0)
 
-// fleet are n entry hosts in three zones.
+// fleet returns n entry hosts in three zones.
 func fleet(n int) []hubs.Host {
 	out := make([]hubs.Host, 0, n)
 	for i := range n {
@@ -24,19 +24,19 @@
 	return out
 }
 
-func TestHubsAreNamedAboveANumberAndStayBelowIt(t *testing.T) {
+func TestHubsAreSelectedWithHysteresis(t *testing.T) {
 	n := hubs.Selection{}.Updated(fleet(40), 40, start)
 	require.Zero(t, n.Len())
 	n = n.Updated(fleet(48), 40, start.Add(time.Second))
 	require.Equal(t, 6, n.Len(), "two in each zone")
 	later := start.Add(time.Minute)
 	n = n.Updated(fleet(36), 40, later).Updated(fleet(36), 40, later.Add(hubs.SettleTime))
-	require.Equal(t, 6, n.Len(), "above three quarters they stay")
+	require.Equal(t, 6, n.Len(), "above 75% of the threshold hubs are kept")
 	n = n.Updated(fleet(30), 40, later.Add(time.Minute)).Updated(fleet(30), 40, later.Add(2*time.Minute))
 	require.Zero(t, n.Len())
 }
 
-func TestAnotherListMustSettle(t *testing.T) {
+func TestNewListMustSettle(t *testing.T) {
 	n := hubs.Selection{}.Updated(fleet(90), 40, start)
 	first := n.Key
 	n = n.Updated(fleet(45), 40, start.Add(time.Second))
@@ -44,12 +44,12 @@
 	n = n.Updated(fleet(90), 40, start.Add(2*time.Second))
 	n = n.Updated(fleet(45), 40, start.Add(3*time.Second))
 	n = n.Updated(fleet(45), 40, start.Add(3*time.Second+hubs.SettleTime-1))
-	require.Equal(t, first, n.Key, "it was another one in between")
+	require.Equal(t, first, n.Key, "the list changed in between")
 	n = n.Updated(fleet(45), 40, start.Add(3*time.Second+hubs.SettleTime))
 	require.NotEqual(t, first, n.Key)
 }
 
-func TestSilentHubIsPassedOver(t *testing.T) {
+func TestSilentHubIsAvoided(t *testing.T) {
 	list := hubs.Selection{}.Updated(fleet(48), 40, start).Hosts
 	self := hubs.Self{ID: "h001", Zone: "z1"}
 	replies := map[ident.Host]time.Time{}
@@ -61,7 +61,7 @@
 	c = c.Updated(list, self, last, time.Second, start.Add(2*time.Second))
 	require.True(t, c.Has(before[0]))
 	require.False(t, c.Has(before[1]))
-	require.Len(t, c.Polled(), hubs.MaxPolled, "another one takes its place")
+	require.Len(t, c.Polled(), hubs.MaxPolled, "the silent hub is replaced")
 	require.Empty(t, c.Cleared().Polled())
 }
 
--- a/core/loads/loads.go
+++ b/core/loads/loads.go
@@ -1,17 +1,16 @@
 // Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
 
-// Package loads tells how many requests run at each worker, in few bytes: hosts
-// tell replicas what they have there, and are told the sum of what all have.
+// Package loads encodes the number of requests in flight at each worker compactly. Hosts
+// report their own counts to replicas and get back the sum over all hosts.
 //
 // # Usage
 //
 //	d := loads.Pack(counts)
 //	sum := loads.Sum(digests)
-//	for tag, n := range sum.Without(own).All() { ... }
+//	for tag, n := range sum.Subtract(own).All() { ... }
 //
-// A worker is named by a tag of 24 bits. Where two workers share one, both are
-// taken to carry the load of both, which keeps requests away from them but
-// breaks no bound: among 910 workers in one fleet of forty, for one pair.
+// A worker is identified by a 24-bit tag. If the tags of two workers collide, both appear to
+// carry the load of both, which diverts requests from them but violates no limit.
 package loads
 
 import (
@@ -23,7 +22,7 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// Tag names a worker.
+// Tag identifies a worker.
 type Tag uint32
 
 const (
@@ -35,15 +34,14 @@
 // TagOf returns the tag of a worker.
 func TagOf(id ident.Target) Tag { return Tag(hash.Of(string(id)) & tagMask) }
 
-// Counts are the requests at each worker.
+// Counts are the numbers of requests in flight by worker.
 type Counts map[Tag]int
 
-// Digest is packed Counts: for each worker in the order of tags, the tag in
-// three bytes, the highest first, and the count as an unsigned varint. The zero
-// value is empty.
+// Digest is an encoding of Counts: for each worker, ordered by tag, the tag in three bytes, most
+// significant first, then the count as an unsigned varint. The zero value is empty.
 type Digest []byte
 
-// Pack returns the counts above 0 as a digest.
+// Pack encodes the counts above 0.
 func Pack(c Counts) Digest {
 	tags := make([]Tag, 0, len(c))
 	for tag, n := range c {
@@ -54,18 +52,17 @@
 	slices.Sort(tags)
 	d := make(Digest, 0, len(tags)*(tagBytes+1))
 	for _, tag := range tags {
-		d = d.with(tag, c[tag])
+		d = d.appendCount(tag, c[tag])
 	}
 	return d
 }
 
-func (d Digest) with(tag Tag, n int) Digest {
+func (d Digest) appendCount(tag Tag, n int) Digest {
 	d = append(d, byte(tag>>16), byte(tag>>8), byte(tag)) //nolint:gosec,mnd // The three bytes of a tag.
 	return binary.AppendUvarint(d, uint64(n))             //nolint:gosec // Above 0.
 }
 
-// All yields workers and their counts in the order of tags. It ends where the
-// digest is damaged.
+// All iterates over tags and counts in the order of tags. It stops where the digest is corrupt.
 func (d Digest) All() iter.Seq2[Tag, int] {
 	return func(yield func(Tag, int) bool) {
 		for len(d) > tagBytes {
@@ -79,10 +76,10 @@
 	}
 }
 
-// maxCount is more than any worker takes; what is above it is damage.
+// maxCount exceeds the requests that any worker accepts; a larger count means corruption.
 const maxCount = 1 << 20
 
-// Counts unpacks the digest.
+// Counts decodes the digest.
 func (d Digest) Counts() Counts {
 	c := make(Counts, len(d)/(tagBytes+1))
 	for tag, n := range d.All() {
@@ -91,7 +88,7 @@
 	return c
 }
 
-// Sum adds digests up.
+// Sum returns the digest of the summed counts.
 func Sum(digests iter.Seq[Digest]) Digest {
 	total := Counts{}
 	for d := range digests {
@@ -102,21 +99,21 @@
 	return Pack(total)
 }
 
-// Subtract returns what remains of a sum without one of its parts.
+// Subtract returns the sum without one of its parts.
 func (d Digest) Subtract(part Digest) Digest {
 	out := make(Digest, 0, len(d))
 	next, stop := iter.Pull2(part.All())
 	defer stop()
-	own, count, more := next()
+	partTag, partCount, more := next()
 	for tag, n := range d.All() {
-		for more && own < tag {
-			own, count, more = next()
+		for more && partTag < tag {
+			partTag, partCount, more = next()
 		}
-		if more && own == tag {
-			n -= count
+		if more && partTag == tag {
+			n -= partCount
 		}
 		if n > 0 {
-			out = out.with(tag, n)
+			out = out.appendCount(tag, n)
 		}
 	}
 	return out
--- a/core/loads/loads_test.go
+++ b/core/loads/loads_test.go
@@ -14,18 +14,19 @@
 	"github.com/yardhall/yardhall/core/loads"
 )
 
-func drawCounts(t *rapid.T, what string) loads.Counts {
+func drawCounts(t *rapid.T, label string) loads.Counts {
 	c := loads.Counts{}
 	for i := range 12 {
-		if n := rapid.IntRange(0, 300).Draw(t, what); n > 0 {
+		if n := rapid.IntRange(0, 300).Draw(t, label); n > 0 {
 			c[loads.TagOf(ident.Target(fmt.Sprint("i-", i)))] = n
 		}
 	}
 	return c
 }
 
-// TestSumWithoutAPartIsTheRest draws what three hosts tell.
-func TestSumWithoutAPartIsTheRest(t *testing.T) {
+// TestSubtractUndoesSum guards against a sum of several hosts' loads that is wrong after
+// subtracting one of them.
+func TestSubtractUndoesSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawCounts(t, "a"), drawCounts(t, "b"), drawCounts(t, "c")
 		sum := loads.Sum(slices.Values([]loads.Digest{loads.Pack(a), loads.Pack(b), loads.Pack(c)}))
@@ -35,7 +36,7 @@
 	})
 }
 
-func TestDamagedDigestEnds(t *testing.T) {
+func TestCorruptDigestIsCutOff(t *testing.T) {
 	d := loads.Pack(loads.Counts{1: 5, 2: 300})
 	for i := range d {
 		require.LessOrEqual(t, len(d[:i].Counts()), 2)
@@ -43,8 +44,8 @@
 	require.Empty(t, loads.Digest{0, 0, 1, 255, 255, 255, 255, 255, 255, 255, 255, 255, 1}.Counts())
 }
 
-// TestDigestOfAFleetIsSmall holds the bytes that docs/CAPACITY.md counts with.
-func TestDigestOfAFleetIsSmall(t *testing.T) {
+// TestDigestSizeForLargeFleet guards the size of a digest that docs/CAPACITY.md relies on.
+func TestDigestSizeForLargeFleet(t *testing.T) {
 	c := loads.Counts{}
 	for i := range 910 {
 		c[loads.TagOf(ident.Target(fmt.Sprintf("i-%010x", i*7919)))] = 80
@@ -52,9 +53,9 @@
 	require.LessOrEqual(t, len(loads.Pack(c)), 910*4)
 }
 
-// TestDigestsOfEarlierProgramsAreRead decodes a digest as the program wrote it that first
-// sent digests.
-func TestDigestsOfEarlierProgramsAreRead(t *testing.T) {
+// TestDigestFormatIsStable guards against a format that hosts of the first version with digests
+// cannot exchange.
+func TestDigestFormatIsStable(t *testing.T) {
 	record := []byte{0x00, 0x00, 0x07, 0x05, 0x01, 0x02, 0x03, 0xac, 0x02}
 	counts := loads.Counts{0x000007: 5, 0x010203: 300}
 	require.Equal(t, counts, loads.Digest(record).Counts())
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -21,12 +21,12 @@
 	return registry.Worker{ID: ident.Target(fmt.Sprintf("w%02d", n)), Pool: "p", Zone: zone, Slots: 1, Seq: 1}
 }
 
-func TestRelaysAreNamedInLargeFleetsOnly(t *testing.T) {
+func TestRelaysAreSelectedInLargeFleetsOnly(t *testing.T) {
 	hosts := []hubs.Host{{Host: "a", Zone: "x", Relay: "a:1"}, {Host: "b", Zone: "y"}, {Host: "c", Zone: "y", Relay: "c:1"}}
 	require.Empty(t, relay.Select(hosts, 150, time.Minute))
-	require.Empty(t, relay.Select(hosts, 151, 0), "a replica that starts knows few")
+	require.Empty(t, relay.Select(hosts, 151, 0), "the replica is warming up")
 	relays := relay.Select(hosts, 151, time.Minute)
-	require.Len(t, relays, 2, "b takes no heartbeats")
+	require.Len(t, relays, 2, "b accepts no heartbeats")
 	require.Equal(t, "c:1", relay.AddressFor(worker(1, "y"), relays))
 	require.NotEmpty(t, relay.AddressFor(worker(1, "z"), relays), "no relay in its zone")
 	leaving := worker(1, "y")
@@ -34,7 +34,7 @@
 	require.Empty(t, relay.AddressFor(leaving, relays))
 }
 
-func TestRelayAcknowledgesNothingNew(t *testing.T) {
+func TestRelayAcknowledgesOnlyKnownState(t *testing.T) {
 	w := worker(1, "x")
 	require.True(t, relay.CanAcknowledge(w, registry.Worker{}, false))
 	require.True(t, relay.CanAcknowledge(w, w, true))
@@ -46,18 +46,18 @@
 	require.False(t, relay.CanAcknowledge(w, leaving, true))
 }
 
-func TestRelayWithoutReplicasSendsEachWorkerBackOnce(t *testing.T) {
+func TestRelayWithoutReplicaRedirectsEachWorkerOnce(t *testing.T) {
 	lost := relay.ReplicaContact{Ever: true}
 	s, kept := relay.State{}.Accept("w", lost, start)
 	require.False(t, kept)
 	s, kept = s.Accept("w", lost, start.Add(time.Second))
-	require.True(t, kept, "it came back from a replica")
+	require.True(t, kept, "it returned from a replica")
 	s, kept = s.Accept("w", lost, start.Add(time.Second+relay.ReplicaTimeout))
 	require.False(t, kept)
 	_, kept = s.Accept("w", relay.ReplicaContact{Recent: true, Ever: true}, start)
 	require.True(t, kept)
 	_, kept = relay.State{}.Accept("w", relay.ReplicaContact{}, start)
-	require.True(t, kept, "a relay that has just started keeps whom replicas sent")
+	require.True(t, kept, "a relay that has just started accepts redirected workers")
 }
 
 func TestHeartbeatsAreReportedTogether(t *testing.T) {
@@ -72,12 +72,12 @@
 	require.True(t, s.ReportDue(false, start.Add(relay.ReportInterval)))
 }
 
-func TestRelayTakesItsPartOfTheWorkers(t *testing.T) {
+func TestRelayCapacityIsBounded(t *testing.T) {
 	s := relay.State{}
 	for i := range 18 {
 		require.True(t, s.HasCapacity(worker(i, "x").ID, 10, 10), "%d", i)
 		s = s.WithHeartbeats(worker(i, "x"))
 	}
 	require.False(t, s.HasCapacity("another", 10, 10))
-	require.True(t, s.HasCapacity(worker(0, "x").ID, 10, 10), "one that it has taken already")
+	require.True(t, s.HasCapacity(worker(0, "x").ID, 10, 10), "a worker that is pending already")
 }
