--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -1,21 +1,25 @@
 // Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
 
-// Package membership decides which replicas keep the replicated log of a seeded fleet. A
-// replica is named by its address and its disk, so that one whose disk came back empty is
-// another member, without a vote, until it has caught up.
+// Package membership decides which replicas form the replicated log of a seeded fleet. A
+// replica is identified by its address and its disk, so one that restarts with an empty disk
+// is a new member, without a vote until it has caught up.
 //
-// The leader makes one change of the member list at a time, the first of these that is due:
-// take out a member at whose address another disk asks to join; give a caught-up learner a
-// vote while fewer replicas vote than shall; take out a voter that has been silent for
-// long, where a learner can take its place, or such a learner; take in a replica that asks.
+// The leader makes one change of the member list at a time, the first of these that applies:
 //
-// It owns the requests to join that a replica knows of. It relies on package raft for the
-// member list, for how far each member has the log, and for when each replied last.
+//   - remove a member that does not reply and at whose address a replica with another disk
+//     requests to join;
+//   - promote a caught-up learner while there are fewer voters than configured;
+//   - remove a voter that has been silent for long, if a learner can replace it, or a silent
+//     learner;
+//   - add a replica that requests to join as a learner.
+//
+// State keeps the join requests that a replica has received. Package raft provides the member
+// list, each member's progress in the log and the time of its last reply.
 //
 // # Usage
 //
-//	s = s.WithRequest(identity, now)
-//	s, change, ok := s.Next(raftState, self, voters, now)
+//	s = s.WithJoinRequest(identity, now)
+//	s, change, ok := s.NextChange(raftState, self, voters, now)
 package membership
 
 import (
@@ -27,100 +31,99 @@
 )
 
 const (
-	// requestInterval is the time between two requests of a replica to be taken in.
-	// Chosen, not measured.
-	requestInterval = 500 * time.Millisecond
-	// requestLifetime is how long a request counts: three of them.
-	requestLifetime = 3 * requestInterval
-	// leaderlessRequest is how long a voter that starts waits for a leader before it asks
-	// to be taken in: longer than an election takes.
-	leaderlessRequest = 2 * time.Second
-	// lookInterval is the time between two looks at the member list. Chosen, not measured.
-	lookInterval = 200 * time.Millisecond
-	// aliveWithin is how recently a member must have replied to count as alive. Chosen,
-	// not measured: five heartbeats of the log.
-	aliveWithin = time.Second
-	// replaceAfter is how long a voter is silent before a caught-up learner takes its
-	// place. Chosen, not measured.
+	// joinRequestInterval is the time between two join requests of a replica.
+	joinRequestInterval = 500 * time.Millisecond
+	// joinRequestLifetime is how long a join request stays valid: three intervals.
+	joinRequestLifetime = 3 * joinRequestInterval
+	// voterJoinDelay is how long a voter that starts waits for a leader before it sends join
+	// requests: longer than an election takes.
+	voterJoinDelay = 2 * time.Second
+	// checkInterval is the time between two checks of the member list.
+	checkInterval = 200 * time.Millisecond
+	// aliveTimeout is how recently a member must have replied to count as alive: five heartbeats
+	// of the log.
+	aliveTimeout = time.Second
+	// replaceAfter is how long a member must be silent before it is removed.
 	replaceAfter = 3 * time.Second
-	// maxMembers bounds the member list, learners included. Chosen, not measured.
+	// maxMembers bounds the member list, including learners.
 	maxMembers = 9
 )
 
-// State is what a replica keeps for membership. It is immutable; the zero value knows no
-// request.
+// State is a replica's state for membership changes. It is immutable; the zero value has no join
+// requests.
 type State struct {
-	// requests are the replicas that ask to be taken in, by when they did last.
-	requests table.Table[ident.Host, time.Time]
-	// requestAt is when this replica next asks, lookAt when the member list is next
-	// looked at.
-	requestAt time.Time
-	lookAt    time.Time
+	// joinRequests maps replicas that request to join to the time of their last request.
+	joinRequests table.Table[ident.Host, time.Time]
+	// nextRequestAt is when this replica may next request to join, nextCheckAt when it next
+	// checks the member list.
+	nextRequestAt time.Time
+	nextCheckAt   time.Time
 }
 
-// WithJoinRequest remembers that a replica asks to be taken in.
+// WithJoinRequest records a replica's request to join.
 func (s State) WithJoinRequest(identity ident.Host, now time.Time) State {
-	s.requests = s.requests.With(identity, now)
+	s.joinRequests = s.joinRequests.With(identity, now)
 	return s
 }
 
-// JoinRequestDue tells whether this replica, which started at a time, asks to be taken in now:
-// it knows no leader, and does not just wait for an election as a voter.
+// JoinRequestDue reports whether this replica, which started at the given time, requests to join
+// now: if it knows no leader and, as a voter, has waited long enough for an election.
 func (s State) JoinRequestDue(r raft.State, started, now time.Time) (State, bool) {
-	if now.Before(s.requestAt) || r.Leader() != "" {
+	if now.Before(s.nextRequestAt) || r.Leader() != "" {
 		return s, false
 	}
-	s.requestAt = now.Add(requestInterval)
-	return s, !r.IsVoter() || now.Sub(started) >= leaderlessRequest
+	s.nextRequestAt = now.Add(joinRequestInterval)
+	return s, !r.IsVoter() || now.Sub(started) >= voterJoinDelay
 }
 
-// NextChange returns the change of the member list that the leader makes now, if any; self is
-// this replica, voters is how many replicas shall vote.
+// NextChange returns the change of the member list that the leader must make now, if any; self is
+// this replica, voters the configured number of voters.
 func (s State) NextChange(r raft.State, self ident.Host, voters int, now time.Time) (State, raft.ChangeMember, bool) {
-	if now.Before(s.lookAt) {
+	if now.Before(s.nextCheckAt) {
 		return s, raft.ChangeMember{}, false
 	}
-	s.lookAt = now.Add(lookInterval)
-	for id, at := range s.requests.All() {
-		if now.Sub(at) > requestLifetime {
-			s.requests = s.requests.Without(id)
+	s.nextCheckAt = now.Add(checkInterval)
+	for id, at := range s.joinRequests.All() {
+		if now.Sub(at) > joinRequestLifetime {
+			s.joinRequests = s.joinRequests.Without(id)
 		}
 	}
 	if !r.LeaseHeld(now) || !r.MembersCommitted() {
 		return s, raft.ChangeMember{}, false
 	}
-	l := look{raft: r, self: self, requests: s.requests, now: now}
-	change, ok := l.next(voters)
+	check := memberCheck{raft: r, self: self, joinRequests: s.joinRequests, now: now}
+	change, ok := check.nextChange(voters)
 	return s, change, ok
 }
 
-// look is one look of the leader at the member list.
-type look struct {
-	raft     raft.State
-	self     ident.Host
-	requests table.Table[ident.Host, time.Time]
-	now      time.Time
+// memberCheck is one check of the member list by the leader.
+type memberCheck struct {
+	raft         raft.State
+	self         ident.Host
+	joinRequests table.Table[ident.Host, time.Time]
+	now          time.Time
 }
 
-func (l look) next(voters int) (raft.ChangeMember, bool) {
-	if id, ok := l.replacedDisk(); ok {
+func (c memberCheck) nextChange(voters int) (raft.ChangeMember, bool) {
+	if id, ok := c.memberWithReplacedDisk(); ok {
 		return raft.ChangeMember{Member: raft.Member{ID: id}, Remove: true}, true
 	}
-	learner, hasLearner := l.readyLearner()
-	if hasLearner && l.voters() < max(1, voters) {
+	learner, hasLearner := c.caughtUpLearner()
+	if hasLearner && c.voterCount() < max(1, voters) {
 		return raft.ChangeMember{Member: raft.Member{ID: learner, Voter: true}}, true
 	}
-	if id, ok := l.silentMember(hasLearner); ok {
+	if id, ok := c.removableMember(hasLearner); ok {
 		return raft.ChangeMember{Member: raft.Member{ID: id}, Remove: true}, true
 	}
-	return l.newLearner()
+	return c.addLearner()
 }
 
-// replacedDisk finds a member at whose address another disk asks to join.
-func (l look) replacedDisk() (ident.Host, bool) {
-	for id := range l.requests.All() {
-		for _, m := range l.raft.Members() {
-			if m.ID != id && m.ID.Address() == id.Address() && !l.alive(m.ID) {
+// memberWithReplacedDisk returns a member that is not alive and at whose address a replica with
+// another disk requests to join.
+func (c memberCheck) memberWithReplacedDisk() (ident.Host, bool) {
+	for id := range c.joinRequests.All() {
+		for _, m := range c.raft.Members() {
+			if m.ID != id && m.ID.Address() == id.Address() && !c.isAlive(m.ID) {
 				return m.ID, true
 			}
 		}
@@ -128,23 +131,23 @@
 	return "", false
 }
 
-func (l look) alive(id ident.Host) bool {
-	return id == l.self || l.now.Sub(l.raft.LastReply(id)) < aliveWithin
+func (c memberCheck) isAlive(id ident.Host) bool {
+	return id == c.self || c.now.Sub(c.raft.LastReply(id)) < aliveTimeout
 }
 
-// readyLearner finds a learner that is alive and has caught up.
-func (l look) readyLearner() (ident.Host, bool) {
-	for _, m := range l.raft.Members() {
-		if !m.Voter && l.alive(m.ID) && l.raft.Match(m.ID) >= l.raft.CommitIndex() {
+// caughtUpLearner returns a learner that is alive and has the whole committed log.
+func (c memberCheck) caughtUpLearner() (ident.Host, bool) {
+	for _, m := range c.raft.Members() {
+		if !m.Voter && c.isAlive(m.ID) && c.raft.Match(m.ID) >= c.raft.CommitIndex() {
 			return m.ID, true
 		}
 	}
 	return "", false
 }
 
-func (l look) voters() int {
+func (c memberCheck) voterCount() int {
 	n := 0
-	for _, m := range l.raft.Members() {
+	for _, m := range c.raft.Members() {
 		if m.Voter {
 			n++
 		}
@@ -152,10 +155,10 @@
 	return n
 }
 
-// silentMember finds a voter that a learner can replace, or a learner that is gone.
-func (l look) silentMember(hasLearner bool) (ident.Host, bool) {
-	for _, m := range l.raft.Members() {
-		silent := m.ID != l.self && l.now.Sub(l.raft.LastReply(m.ID)) > replaceAfter
+// removableMember returns a silent learner, or a silent voter if a learner can replace it.
+func (c memberCheck) removableMember(hasLearner bool) (ident.Host, bool) {
+	for _, m := range c.raft.Members() {
+		silent := m.ID != c.self && c.now.Sub(c.raft.LastReply(m.ID)) > replaceAfter
 		if silent && (hasLearner || !m.Voter) {
 			return m.ID, true
 		}
@@ -163,13 +166,13 @@
 	return "", false
 }
 
-// newLearner takes in a replica that asks, without a vote.
-func (l look) newLearner() (raft.ChangeMember, bool) {
-	if len(l.raft.Members()) >= maxMembers {
+// addLearner adds a replica that requests to join, without a vote.
+func (c memberCheck) addLearner() (raft.ChangeMember, bool) {
+	if len(c.raft.Members()) >= maxMembers {
 		return raft.ChangeMember{}, false
 	}
-	for id := range l.requests.All() {
-		if !l.raft.IsMember(id) {
+	for id := range c.joinRequests.All() {
+		if !c.raft.IsMember(id) {
 			return raft.ChangeMember{Member: raft.Member{ID: id}}, true
 		}
 	}
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -17,7 +17,8 @@
 
 var start = time.Unix(1000, 0)
 
-// leaderOf returns a replica that leads a group of itself alone, and the time then.
+// leaderOf returns the leader of a group with the given other members, and the time when it holds
+// the lease.
 func leaderOf(t *testing.T, members ...raft.Member) (raft.State, time.Time) {
 	t.Helper()
 	boot := raft.Boot{Members: append([]raft.Member{{ID: self, Voter: true}}, members...)}
@@ -33,7 +34,7 @@
 	return s, now
 }
 
-// step feeds an event, and has the disk keep everything at once.
+// step applies an event and reports everything it persists as written.
 func step(s raft.State, ev raft.Event, now time.Time) raft.State {
 	next, effects := s.Step(ev, now)
 	for _, e := range effects {
@@ -44,29 +45,29 @@
 	return next
 }
 
-func TestReplicaThatAsksBecomesALearner(t *testing.T) {
+func TestJoiningReplicaBecomesLearner(t *testing.T) {
 	leader, now := leaderOf(t)
 	s := membership.State{}.WithJoinRequest("b:1#disk", now)
 	s, change, ok := s.NextChange(leader, self, 3, now)
 	require.True(t, ok)
 	require.Equal(t, raft.ChangeMember{Member: raft.Member{ID: "b:1#disk"}}, change)
 	_, _, ok = s.NextChange(leader, self, 3, now)
-	require.False(t, ok, "one look at a time")
+	require.False(t, ok, "the next check is not due")
 }
 
-func TestRequestIsForgotten(t *testing.T) {
+func TestJoinRequestExpires(t *testing.T) {
 	leader, now := leaderOf(t)
 	s := membership.State{}.WithJoinRequest("b:1#disk", now.Add(-2*time.Second))
 	_, _, ok := s.NextChange(leader, self, 3, now)
 	require.False(t, ok)
 }
 
-func TestReplicaAsksWhileItKnowsNoLeader(t *testing.T) {
+func TestReplicaRequestsToJoinWithoutLeader(t *testing.T) {
 	alone := raft.New("b:1#disk", raft.Options{}, 1, raft.Boot{}, start)
 	s, due := membership.State{}.JoinRequestDue(alone, start, start)
 	require.True(t, due)
 	s, due = s.JoinRequestDue(alone, start, start.Add(100*time.Millisecond))
-	require.False(t, due, "not again at once")
+	require.False(t, due, "the next request is not due")
 	_, due = s.JoinRequestDue(alone, start, start.Add(time.Second))
 	require.True(t, due)
 	leader, now := leaderOf(t)
--- a/core/zones/zones.go
+++ b/core/zones/zones.go
@@ -1,23 +1,23 @@
 // Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
 
-// Package zones holds which availability zones the operators have drained: nothing new is
-// sent to the targets of such a zone until it is taken back. What is in progress there ends
-// as it would.
+// Package zones records which availability zones the operators have drained: no new requests
+// are sent to the targets of a drained zone until it is restored. Requests in progress there
+// finish normally.
 //
-// The state is replicated (core/catalog), apart from the route table: no route table changes
-// it. Each order that changes a zone gets the next revision, so of two states the one of the
-// higher revision is the later one. Hosts keep the latest that they were sent, and serve by
-// it under the same lease as by the route table (core/host zones.go).
+// The state is replicated (core/catalog) separately from the route table. Each order that
+// changes a zone increments the revision, so of two states the one with the higher revision is
+// the later one. Hosts keep the latest state they receive and apply it under the same lease as
+// the route table (core/host zones.go).
 //
-// An order names the revision that its zone had where the order was received, and changes
-// nothing once another order for the zone came first: so one that is held up on its way does
-// not undo a later one, and of two that race the first in the log decides. The other one is
-// answered as overtaken, and may be sent again.
+// An order carries the revision that its zone had on the host that received the order, and is
+// rejected as superseded if another order for the zone was committed first. A delayed order
+// therefore cannot undo a later one, and of two concurrent orders the first in the log wins. A
+// superseded order may be sent again.
 //
 // # Usage
 //
-//	next, done := d.With(zones.Change{Zone: "hall-a", Drained: true, Seen: d.RevisionOf("hall-a")})
-//	if next.Has(worker.Zone) { ... }
+//	next, outcome := d.Apply(zones.Change{Zone: "hall-a", Drained: true, Seen: d.RevisionOf("hall-a")})
+//	if next.IsDrained(worker.Zone) { ... }
 package zones
 
 import (
@@ -30,106 +30,105 @@
 )
 
 const (
-	// maxZones bounds the zones remembered, so that names which are invented cannot fill the
-	// memory: ten times the zones that are designed for.
+	// maxZones bounds the zones remembered, so that orders with made-up names cannot exhaust
+	// memory.
 	maxZones = 64
-	// maxNameLength bounds the name of a zone, in bytes, as in registrations.
+	// maxNameLength bounds the length of a zone's name in bytes, as in registrations.
 	maxNameLength = 256
 )
 
-// Order is the newest order that changed a zone. Its fields travel and are stored by their
-// names.
+// Order is the newest order that changed a zone. The field names are part of the wire and storage
+// formats.
 type Order struct {
 	Zone    ident.Zone
 	Drained bool
-	// Revision is that of the state which the order led to.
+	// Revision is the revision of the state that the order created.
 	Revision uint64
 }
 
-// Drained says which zones are drained. It is immutable; the zero value is that of a fleet
-// that had no order. Its fields travel and are stored by their names.
+// Drained records which zones are drained. It is immutable; in the zero value no zone was ever
+// drained. The field names are part of the wire and storage formats.
 type Drained struct {
 	// Revision counts the orders that changed a zone.
 	Revision uint64
-	// Orders are the newest ones by zone, in the order of the zones' names; never changed
-	// in place.
+	// Orders holds the newest order of each zone, sorted by zone; never modified in place.
 	Orders []Order
 }
 
-// Change asks for a zone to be drained or taken back.
+// Change is an order to drain a zone or restore it.
 type Change struct {
 	Zone    ident.Zone
 	Drained bool
-	// Seen is the revision of the zone's newest order where this one was received.
+	// Seen is the revision of the zone's newest order on the host that received this one.
 	Seen uint64
 }
 
-// Outcome is what became of a Change.
+// Outcome is the result of applying a Change.
 type Outcome int
 
-// Outcomes. Only Done leaves the zone as the change wants it.
+// Outcomes. Only with Done is the zone as the change requires.
 const (
-	// Done means that the zone is as asked for, perhaps already before.
+	// Done means that the zone is in the requested state, whether or not it was before.
 	Done Outcome = iota
-	// Superseded means that another order for the zone came first.
+	// Superseded means that another order for the zone was committed first.
 	Superseded
 	// TooMany means that no more zones can be remembered.
 	TooMany
 )
 
-// Validate returns what is wrong with the change, or nil.
+// Validate returns an error if zone name is empty or longer than 256 bytes.
 func (c Change) Validate() error {
 	if c.Zone == "" || len(c.Zone) > maxNameLength {
-		return errors.New("the zone's name is empty or too long")
+		return errors.New("zone name is empty or longer than 256 bytes")
 	}
 	return nil
 }
 
-// find returns where a zone's order stands, or would stand.
-func (d Drained) find(zone ident.Zone) (at int, found bool) {
+// orderIndex returns the index of a zone's order, or the index at which to insert it.
+func (d Drained) orderIndex(zone ident.Zone) (at int, found bool) {
 	return slices.BinarySearchFunc(d.Orders, zone, func(o Order, z ident.Zone) int {
 		return strings.Compare(string(o.Zone), string(z))
 	})
 }
 
-// newest returns the newest order for a zone; zero for none.
-func (d Drained) newest(zone ident.Zone) Order {
-	if at, found := d.find(zone); found {
-		return d.Orders[at]
+// newestOrder returns the newest order for a zone, or the zero value.
+func (d Drained) newestOrder(zone ident.Zone) Order {
+	if i, found := d.orderIndex(zone); found {
+		return d.Orders[i]
 	}
 	return Order{}
 }
 
-// IsDrained tells whether a zone is drained.
-func (d Drained) IsDrained(zone ident.Zone) bool { return d.newest(zone).Drained }
+// IsDrained reports whether a zone is drained.
+func (d Drained) IsDrained(zone ident.Zone) bool { return d.newestOrder(zone).Drained }
 
-// RevisionOf is the revision of a zone's newest order; 0 where there was none.
-func (d Drained) RevisionOf(zone ident.Zone) uint64 { return d.newest(zone).Revision }
+// RevisionOf returns the revision of a zone's newest order; 0 if there is none.
+func (d Drained) RevisionOf(zone ident.Zone) uint64 { return d.newestOrder(zone).Revision }
 
-// Apply returns the state after a change, and what became of the change.
+// Apply returns the state after a change, and the outcome of the change.
 func (d Drained) Apply(c Change) (Drained, Outcome) {
-	at, found := d.find(c.Zone)
-	have := d.newest(c.Zone)
+	i, found := d.orderIndex(c.Zone)
+	newest := d.newestOrder(c.Zone)
 	switch {
-	case have.Drained == c.Drained:
+	case newest.Drained == c.Drained:
 		return d, Done
-	case have.Revision != c.Seen:
+	case newest.Revision != c.Seen:
 		return d, Superseded
 	case !found && len(d.Orders) >= maxZones:
 		return d, TooMany
 	}
 	d.Revision++
 	d.Orders = slices.Clone(d.Orders)
-	next := Order{Zone: c.Zone, Drained: c.Drained, Revision: d.Revision}
+	order := Order{Zone: c.Zone, Drained: c.Drained, Revision: d.Revision}
 	if found {
-		d.Orders[at] = next
+		d.Orders[i] = order
 	} else {
-		d.Orders = slices.Insert(d.Orders, at, next)
+		d.Orders = slices.Insert(d.Orders, i, order)
 	}
 	return d, Done
 }
 
-// Latest returns the later one of two states.
+// Latest returns the later of two states.
 func (d Drained) Latest(other Drained) Drained {
 	if other.Revision > d.Revision {
 		return other
@@ -137,7 +136,7 @@
 	return d
 }
 
-// DrainedZones are the zones that are drained, by name.
+// DrainedZones returns the drained zones, sorted by name.
 func (d Drained) DrainedZones() []ident.Zone {
 	var out []ident.Zone
 	for _, o := range d.Orders {
@@ -148,7 +147,7 @@
 	return out
 }
 
-// OrdersSince are the orders after a revision.
+// OrdersSince returns the newest orders with a revision above the given one.
 func (d Drained) OrdersSince(revision uint64) []Order {
 	return slices.DeleteFunc(slices.Clone(d.Orders), func(o Order) bool { return o.Revision <= revision })
 }
--- a/core/zones/zones_test.go
+++ b/core/zones/zones_test.go
@@ -13,12 +13,12 @@
 	"github.com/yardhall/yardhall/core/zones"
 )
 
-// maxOrders bounds the orders that are drawn.
+// maxOrders bounds the number of orders drawn.
 const maxOrders = 40
 
-// TestOrdersAreRemembered draws orders, some of them late, and compares what is drained with
-// a map: an order counts where nothing was ordered since it was received.
-func TestOrdersAreRemembered(t *testing.T) {
+// TestOrderAppliesUnlessSuperseded draws orders, some of them delayed, and guards against
+// applying one after another order for its zone was committed.
+func TestOrderAppliesUnlessSuperseded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var held zones.Drained
 		states := append(make([]zones.Drained, 0, maxOrders), held)
@@ -31,7 +31,7 @@
 			switch {
 			case want[zone] == c.Drained:
 				require.Equal(t, zones.Done, outcome)
-				require.Equal(t, held, next, "an order that is sent again changes nothing")
+				require.Equal(t, held, next, "a repeated order changes nothing")
 			case received.RevisionOf(zone) != held.RevisionOf(zone):
 				require.Equal(t, zones.Superseded, outcome)
 				require.Equal(t, held, next)
@@ -42,12 +42,12 @@
 			}
 			held = next
 			states = append(states, held)
-			requireSame(t, want, held)
+			requireDrained(t, want, held)
 		}
 	})
 }
 
-func requireSame(t *rapid.T, want map[ident.Zone]bool, held zones.Drained) {
+func requireDrained(t *rapid.T, want map[ident.Zone]bool, held zones.Drained) {
 	n := 0
 	for zone, drained := range want {
 		require.Equal(t, drained, held.IsDrained(zone), zone)
@@ -58,8 +58,9 @@
 	require.Len(t, held.DrainedZones(), n)
 }
 
-// TestNewestStateWins joins states in any order and as often as they are sent.
-func TestNewestStateWins(t *testing.T) {
+// TestLatestStateWins guards against a host that reverts to an older state when states arrive out
+// of order or repeatedly.
+func TestLatestStateWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var last zones.Drained
 		states := append(make([]zones.Drained, 0, maxOrders), last)
@@ -72,14 +73,14 @@
 		revision := uint64(0)
 		for range 30 {
 			held = held.Latest(rapid.SampledFrom(states).Draw(t, "sent"))
-			require.GreaterOrEqual(t, held.Revision, revision, "it never reverts")
+			require.GreaterOrEqual(t, held.Revision, revision, "the revision never decreases")
 			revision = held.Revision
 		}
 		require.Equal(t, last, held.Latest(last))
 	})
 }
 
-func TestNamesThatAreInventedAreBounded(t *testing.T) {
+func TestZoneCountIsBounded(t *testing.T) {
 	var held zones.Drained
 	outcome := zones.Done
 	for i := 0; outcome == zones.Done; i++ {
@@ -88,6 +89,6 @@
 	}
 	require.Equal(t, zones.TooMany, outcome)
 	_, outcome = held.Apply(zones.Change{Zone: "0", Drained: false, Seen: held.RevisionOf("0")})
-	require.Equal(t, zones.Done, outcome, "what is known can still be changed")
+	require.Equal(t, zones.Done, outcome, "a known zone can still be changed")
 	require.Error(t, zones.Change{}.Validate())
 }
