--- a/core/routing/directory.go
+++ b/core/routing/directory.go
@@ -11,27 +11,27 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// DefaultMaxChats bounds the chats that one group remembers. Chosen, not measured.
+// DefaultMaxChats is the default of Directory.MaxChats.
 const DefaultMaxChats = 32 << 10
 
-// ChatLocation is where a chat was served last.
+// ChatLocation is the target or group to which a chat was last sent.
 type ChatLocation struct {
 	Target ident.Target
-	// Group is set where the chat was sent to another group.
+	// Group is set if the chat was redirected to another group.
 	Group GroupID
 }
 
-// Directory remembers where chats were served. It is bounded: entries live in
-// a young and an old generation, a hit in the old one moves to the young one,
-// and when the young one is full it becomes the old one. Each entry thus
-// survives at least half the bound of other chats. The zero value is empty.
+// Directory remembers the location of chats. It is bounded: entries are kept in a young and an
+// old generation, an entry that is set again moves to the young one, and when the young
+// generation is full it replaces the old one. Each entry thus survives at least MaxChats/2 other
+// chats. The zero value is empty.
 type Directory struct {
-	// MaxChats is the most chats kept; DefaultChats where 0.
+	// MaxChats is the maximum number of chats; 0 means DefaultMaxChats.
 	MaxChats   int
 	young, old *immutable.Map[hash.Key, ChatLocation]
 }
 
-// Len counts the chats remembered; one in both generations counts twice.
+// Len returns the number of entries; a chat in both generations counts twice.
 func (d Directory) Len() int { return mapLen(d.young) + mapLen(d.old) }
 
 func mapLen(m *immutable.Map[hash.Key, ChatLocation]) int {
@@ -41,7 +41,7 @@
 	return m.Len()
 }
 
-// Get returns the place of a chat.
+// Get returns the location of a chat.
 func (d Directory) Get(k hash.Key) (ChatLocation, bool) {
 	for _, m := range []*immutable.Map[hash.Key, ChatLocation]{d.young, d.old} {
 		if m == nil {
@@ -54,14 +54,15 @@
 	return ChatLocation{}, false
 }
 
-// With returns the directory with the place of k set. Key 0 is no chat.
+// With returns the directory with the location of k set. Key 0 denotes a request without a chat
+// and is ignored.
 func (d Directory) With(k hash.Key, p ChatLocation) Directory {
 	if k == 0 {
 		return d
 	}
-	bound := d.MaxChats
-	bound = cmp.Or(bound, DefaultMaxChats)
-	if d.young == nil || d.young.Len() >= bound/2 {
+	maxChats := d.MaxChats
+	maxChats = cmp.Or(maxChats, DefaultMaxChats)
+	if d.young == nil || d.young.Len() >= maxChats/2 {
 		d.old = d.young
 		d.young = immutable.NewMap[hash.Key, ChatLocation](keyHasher{})
 	}
@@ -69,7 +70,7 @@
 	return d
 }
 
-// keyHasher spreads keys that are hashes already.
+// keyHasher folds keys, which are hashes already.
 type keyHasher struct{}
 
 // Hash implements immutable.Hasher.
@@ -78,13 +79,13 @@
 // Equal implements immutable.Hasher.
 func (keyHasher) Equal(a, b hash.Key) bool { return a == b }
 
-// Chat is one entry of a directory as it travels to another owner.
+// Chat is one entry of a directory, as sent to another owner.
 type Chat struct {
 	Key   hash.Key
 	Place ChatLocation
 }
 
-// Chats lists the directory, the older generation first.
+// Chats returns all entries, those of the old generation first.
 func (d Directory) Chats() []Chat {
 	out := make([]Chat, 0, d.Len())
 	for _, m := range []*immutable.Map[hash.Key, ChatLocation]{d.old, d.young} {
@@ -99,25 +100,25 @@
 	return out
 }
 
-// WithChatLimit returns the group remembering at most n chats; 0 is the
+// WithChatLimit returns the group with the number of remembered chats limited to n; 0 means the
 // default.
 func (g Group) WithChatLimit(n int) Group {
 	g.directory.MaxChats = n
 	return g
 }
 
-// WithDirectory returns the group with what a backup remembers of its chats.
+// WithDirectory returns the group with a backup's copy of its directory.
 func (g Group) WithDirectory(d Directory) Group {
 	d.MaxChats = g.directory.MaxChats
 	g.directory = d
 	return g
 }
 
-// Chats lists the chats remembered, to hand them to another owner.
+// Chats returns the chats remembered, to be sent to another owner.
 func (g Group) Chats() []Chat { return g.directory.Chats() }
 
-// AdoptChats takes over what an earlier owner remembered. What is known here
-// already is newer and stays.
+// AdoptChats adds the chats that a previous owner remembered; entries that exist already are
+// newer and are kept.
 func (g Group) AdoptChats(chats []Chat) Group {
 	for _, c := range chats {
 		if _, ok := g.directory.Get(c.Key); !ok {
--- a/core/routing/permits.go
+++ b/core/routing/permits.go
@@ -9,7 +9,7 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// Permit is a place on an engine given to one request.
+// Permit is the right to run one request on a target.
 type Permit struct {
 	Place   ident.PermitID
 	Target  ident.Target
@@ -17,97 +17,97 @@
 	Key     hash.Key
 	Work    int64
 	Router  ident.Host
-	// Incarnation is the start of the router that holds the permit.
+	// Incarnation identifies the process of the router that holds the permit.
 	Incarnation uint64
-	// Until is when the permit ends by itself.
+	// Until is when the permit expires.
 	Until time.Time
 }
 
-// Adopt counts permits that routers hold from an earlier owner.
+// Adopt adds permits that routers hold from a previous owner.
 func (g Group) Adopt(permits []Permit, now time.Time) Group {
 	for _, p := range permits {
 		if !g.permits.Has(p.Place) {
-			g = g.withPermit(p, now).withLessForeign(p.Target)
+			g = g.withPermit(p, now).withForeignReduced(p.Target)
 		}
 	}
 	return g
 }
 
-// withLessForeign takes one request off an engine's foreign load: it is known
-// to be ours now, and the report that showed it is from before.
-func (g Group) withLessForeign(id ident.Target) Group {
-	i := g.index(id)
-	if i < 0 || g.engines[i].Foreign == 0 {
+// withForeignReduced takes one request off a target's foreign load: the last load report counted
+// the request before its permit was known here.
+func (g Group) withForeignReduced(id ident.Target) Group {
+	i := g.targetIndex(id)
+	if i < 0 || g.targets[i].Foreign == 0 {
 		return g
 	}
-	e := g.engines[i]
-	e.Foreign--
-	return g.withEngine(i, e)
+	t := g.targets[i]
+	t.Foreign--
+	return g.withTarget(i, t)
 }
 
 func (g Group) withPermit(p Permit, now time.Time) Group {
 	g.permits = g.permits.With(p.Place, p)
-	n, _ := g.accounts.Get(p.Account)
-	g.accounts = g.accounts.With(p.Account, n+1)
-	if i := g.index(p.Target); i >= 0 {
-		g = g.withEngine(i, g.engines[i].withMine(1, p.Work, now))
+	n, _ := g.inFlightByAccount.Get(p.Account)
+	g.inFlightByAccount = g.inFlightByAccount.With(p.Account, n+1)
+	if i := g.targetIndex(p.Target); i >= 0 {
+		g = g.withTarget(i, g.targets[i].withOwnLoad(1, p.Work, now))
 	}
-	return g.withLocation(p.Key, ChatLocation{Target: p.Target})
+	return g.withChatLocation(p.Key, ChatLocation{Target: p.Target})
 }
 
 func (g Group) withoutPermit(p Permit, now time.Time) Group {
 	g.permits = g.permits.Without(p.Place)
-	n, _ := g.accounts.Get(p.Account)
+	n, _ := g.inFlightByAccount.Get(p.Account)
 	if n <= 1 {
-		g.accounts = g.accounts.Without(p.Account)
+		g.inFlightByAccount = g.inFlightByAccount.Without(p.Account)
 	} else {
-		g.accounts = g.accounts.With(p.Account, n-1)
+		g.inFlightByAccount = g.inFlightByAccount.With(p.Account, n-1)
 	}
-	if i := g.index(p.Target); i >= 0 {
-		g = g.withEngine(i, g.engines[i].withMine(-1, -p.Work, now))
+	if i := g.targetIndex(p.Target); i >= 0 {
+		g = g.withTarget(i, g.targets[i].withOwnLoad(-1, -p.Work, now))
 	}
 	return g
 }
 
-// Grant is a place given to a request.
+// Grant is a permit granted to a queued or new request.
 type Grant struct {
 	Request PermitRequest
 	Target  ident.Target
-	// Known is true where the chat was remembered on that engine.
+	// Known is set if the directory had the chat on that target.
 	Known bool
 }
 
-// Answer returns the grant as the reply to its router.
+// Answer returns the grant as the answer to its router.
 func (g Grant) Answer() Granted { return Granted{Target: g.Target, Known: g.Known} }
 
-// HasRequest tells whether a place is given or asked for here.
-func (g Group) HasRequest(place ident.PermitID) bool {
-	return g.permits.Has(place) || g.queue.index.Has(place)
+// HasRequest reports whether the request with the given permit id holds a permit or is queued.
+func (g Group) HasRequest(permit ident.PermitID) bool {
+	return g.permits.Has(permit) || g.queue.byPermit.Has(permit)
 }
 
-// Release frees a place, or takes its request out of the queue, and serves the queue.
-func (g Group) Release(place ident.PermitID, b LoadBound, now time.Time) (Group, []Grant) {
-	if p, ok := g.permits.Get(place); ok {
+// Release releases a permit, or removes its request from the queue, and serves the queue.
+func (g Group) Release(permit ident.PermitID, b LoadBound, now time.Time) (Group, []Grant) {
+	if p, ok := g.permits.Get(permit); ok {
 		g = g.withoutPermit(p, now)
 	} else {
-		g.queue = g.queue.without(place)
+		g.queue = g.queue.without(permit)
 	}
 	return g.ServeQueue(b, now)
 }
 
-// DropRouter frees all places held by a router that is gone or has restarted;
-// keep is the incarnation that lives, 0 for none.
-func (g Group) DropRouter(router ident.Host, keep uint64, now time.Time) Group {
+// DropRouter releases all permits and removes all queued requests of a router, except those of
+// its current incarnation; 0 for a router that is gone.
+func (g Group) DropRouter(router ident.Host, currentIncarnation uint64, now time.Time) Group {
 	for _, p := range g.permits.All() {
-		if p.Router == router && p.Incarnation != keep {
+		if p.Router == router && p.Incarnation != currentIncarnation {
 			g = g.withoutPermit(p, now)
 		}
 	}
-	g.queue = g.queue.withoutRouter(router, keep)
+	g.queue = g.queue.withoutRouter(router, currentIncarnation)
 	return g
 }
 
-// Expire frees places past their time, and returns the requests that have waited
+// Expire releases expired permits, and removes and returns the requests that have been queued for
 // too long.
 func (g Group) Expire(now time.Time) (Group, []PermitRequest) {
 	for _, p := range g.permits.All() {
@@ -115,23 +115,24 @@
 			g = g.withoutPermit(p, now)
 		}
 	}
-	var late []PermitRequest
-	g.queue, late = g.queue.expire(now)
-	return g, late
+	var expired []PermitRequest
+	g.queue, expired = g.queue.expire(now)
+	return g, expired
 }
 
-// ServeQueue gives free places to waiting requests, best first.
+// ServeQueue grants permits to queued requests, highest priority first, until no target has
+// capacity for any.
 func (g Group) ServeQueue(b LoadBound, now time.Time) (Group, []Grant) {
 	var grants []Grant
-	var full []ident.Model
+	var fullModels []ident.Model
 	for {
-		req, ok := g.queue.next(g.accounts, full)
+		req, ok := g.queue.next(g.inFlightByAccount, fullModels)
 		if !ok {
 			return g, grants
 		}
-		i, known := g.choose(req, b, now)
+		i, known := g.chooseTarget(req, b, now)
 		if i < 0 {
-			full = append(full, req.Model)
+			fullModels = append(fullModels, req.Model)
 			continue
 		}
 		g.queue = g.queue.without(req.Permit)
@@ -142,7 +143,7 @@
 }
 
 func (g Group) grant(req PermitRequest, i int, known bool, now time.Time) (Group, Grant) {
-	target := g.engines[i].ID
+	target := g.targets[i].ID
 	g = g.withPermit(Permit{
 		Place: req.Permit, Target: target, Account: req.Account, Key: req.Key, Work: req.Work,
 		Router: req.Router, Incarnation: req.Incarnation, Until: req.Deadline.Add(permitGrace),
@@ -150,5 +151,5 @@
 	return g, Grant{Request: req, Target: target, Known: known}
 }
 
-// permitGrace is how long a permit outlives its request's deadline. Chosen, not measured.
+// permitGrace is how long a permit is valid after its request's deadline.
 const permitGrace = 10 * time.Second
--- a/core/routing/place.go
+++ b/core/routing/place.go
@@ -10,88 +10,87 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// A group's owner answers a request for a permit in this order: a request that comes again
-// gets its answer again; nobody overtakes those that wait in the same or a better class; a
-// chat that was sent to another group is sent back there while that group is not the fuller;
-// a returning chat gets the engine that it was on, if that one is under its limit (bound.go);
-// any other request the first engine of its chat's rendezvous order that is under the mean,
-// else the least loaded one. Where no engine has room, the request goes to the group with
-// the lowest mean, if that is below this group's, and else waits (queue.go).
-//
-// Inputs: the engines' exact loads and slots, what the group remembers of chats, the other
-// groups' loads, the rank of the request's class.
+// A group's owner handles a request for a permit in this order. A repeated request gets the same
+// answer again. A request does not overtake those queued with the same or a higher priority. A
+// chat that was redirected to another group is redirected there again unless that group has
+// become the more loaded one. A returning chat gets its previous target if that is below its
+// limit (bound.go). Any other request gets the first target in the chat's rendezvous order that
+// is below the mean, or else the least loaded one. If no target has capacity, the request is
+// redirected to the group with the lowest mean load, if that is below this group's, and is queued
+// otherwise (queue.go).
 const (
-	// reserveShare of each engine's slots is kept for rank 0, so that urgent requests
-	// need not wait for others. Chosen; measured in a surge: urgent requests waited 2 ms
-	// at the 99th percentile, with the surge and without.
-	reserveShare = 0.1
-	// slowStart is how long an engine that returns takes to its full part, minSlowStart
-	// its part at the beginning. Chosen, not measured.
-	slowStart    = 10 * time.Second
-	minSlowStart = 0.2
+	// reservedShare is the part of each target's slots kept for rank 0, so that urgent requests
+	// need not wait for others.
+	reservedShare = 0.1
+	// slowStartDuration is how long a target that becomes usable takes to reach its full share of
+	// the load, minSlowStartFactor its share at the beginning.
+	slowStartDuration  = 10 * time.Second
+	minSlowStartFactor = 0.2
 )
 
-// RequestPermit places a request, queues it, sends it elsewhere or refuses it.
+// RequestPermit grants a permit to a request, queues it, redirects it to another group, or
+// refuses it.
 func (g Group) RequestPermit(req PermitRequest, b LoadBound, now time.Time) (Group, Answer) {
-	if answer, ok := g.answered(req.Permit); ok {
+	if answer, ok := g.previousAnswer(req.Permit); ok {
 		return g, answer
 	}
-	if req.Rank > 0 && g.queue.waitingBefore(req) {
-		// Nobody overtakes those that wait in the same or a better class.
-		return g.unplaced(req, b, now)
+	if req.Rank > 0 && g.queue.hasWaitingAhead(req) {
+		// A request must not overtake those queued with the same or a higher priority.
+		return g.redirectOrQueue(req, b, now)
 	}
-	if p, ok := g.directory.Get(req.Key); ok && p.Group != (GroupID{}) && !req.Final && g.worthSendingBack(b, p.Group) {
+	if p, ok := g.directory.Get(req.Key); ok && p.Group != (GroupID{}) && !req.Final && g.shouldRedirect(b, p.Group) {
 		return g, Elsewhere{Group: p.Group}
 	}
-	i, known := g.choose(req, b, now)
+	i, known := g.chooseTarget(req, b, now)
 	if i >= 0 {
 		var grant Grant
 		g, grant = g.grant(req, i, known, now)
 		return g, grant.Answer()
 	}
-	return g.unplaced(req, b, now)
+	return g.redirectOrQueue(req, b, now)
 }
 
-// answered repeats the answer to a request that comes again, doubled or because
+// previousAnswer repeats the answer to a request that arrives again, as a duplicate or because
 // its answer was lost.
-func (g Group) answered(place ident.PermitID) (Answer, bool) {
-	if p, ok := g.permits.Get(place); ok {
+func (g Group) previousAnswer(permit ident.PermitID) (Answer, bool) {
+	if p, ok := g.permits.Get(permit); ok {
 		return Granted{Target: p.Target, Known: true}, true
 	}
-	if g.queue.index.Has(place) {
+	if g.queue.byPermit.Has(permit) {
 		return Queued{}, true
 	}
 	return nil, false
 }
 
-// worthSendingBack tells whether a chat that was sent to another group may go there
-// again: not where that one is the fuller by now.
-func (g Group) worthSendingBack(b LoadBound, id GroupID) bool {
-	most := g.mean(b) * (1 + (b.LoadFactor-1)*sendBackShare)
+// shouldRedirect reports whether a chat that was redirected to another group is redirected there
+// again: only while that group is not much more loaded than the mean.
+func (g Group) shouldRedirect(b LoadBound, id GroupID) bool {
+	allowed := g.meanLoad(b) * (1 + (b.LoadFactor-1)*redirectShare)
 	return slices.ContainsFunc(b.OtherGroups, func(l GroupLoad) bool {
-		return l.Group == id && l.Usable > 0 && (b.LoadFactor == 0 || float64(l.Load) <= most*float64(l.Usable))
+		return l.Group == id && l.Usable > 0 && (b.LoadFactor == 0 || float64(l.Load) <= allowed*float64(l.Usable))
 	})
 }
 
-// unplaced finds what to do with a request that no engine here may take.
-func (g Group) unplaced(req PermitRequest, b LoadBound, now time.Time) (Group, Answer) {
+// redirectOrQueue handles a request for which no target of this group has capacity.
+func (g Group) redirectOrQueue(req PermitRequest, b LoadBound, now time.Time) (Group, Answer) {
 	if !req.Final {
-		if to, ok := g.lighterGroup(b); ok {
-			return g.withLocation(req.Key, ChatLocation{Group: to}), Elsewhere{Group: to}
+		if to, ok := g.leastLoadedGroup(b); ok {
+			return g.withChatLocation(req.Key, ChatLocation{Group: to}), Elsewhere{Group: to}
 		}
 	}
-	if !g.anyServes(req) {
+	if !g.anyEligible(req) {
 		return g, Refused{Reason: ReasonNoTarget, RetryAfter: retryAfter}
 	}
 	return g.enqueue(req, now)
 }
 
-func (g Group) anyServes(req PermitRequest) bool {
-	return slices.ContainsFunc(g.engines, func(e Target) bool { return g.eligible(e, req) })
+func (g Group) anyEligible(req PermitRequest) bool {
+	return slices.ContainsFunc(g.targets, func(t Target) bool { return g.eligible(t, req) })
 }
 
-// lighterGroup returns the other group with the lowest mean, if it is below ours.
-func (g Group) lighterGroup(b LoadBound) (GroupID, bool) {
+// leastLoadedGroup returns the other group with the lowest mean load, if that is below this
+// group's.
+func (g Group) leastLoadedGroup(b LoadBound) (GroupID, bool) {
 	best, found := GroupLoad{}, false
 	for _, o := range b.OtherGroups {
 		if o.Usable == 0 || o.Waiting > 0 {
@@ -101,68 +100,69 @@
 			best, found = o, true
 		}
 	}
-	if !found || best.Load*g.UsableTargets() >= g.total*best.Usable && g.UsableTargets() > 0 {
+	if !found || best.Load*g.UsableTargets() >= g.totalLoad*best.Usable && g.UsableTargets() > 0 {
 		return GroupID{}, false
 	}
 	return best.Group, true
 }
 
-func (g Group) eligible(e Target, req PermitRequest) bool {
-	return e.Usable && e.serves(req.Model) && !slices.Contains(req.Exclude, e.ID)
+func (g Group) eligible(t Target, req PermitRequest) bool {
+	return t.Usable && t.serves(req.Model) && !slices.Contains(req.Exclude, t.ID)
 }
 
-// choose returns the engine for a request, or -1, and whether the chat is known there. A returning chat stays where it was unless that breaks the bound;
-// others go to the first engine of their rendezvous order that has room, else to
-// the least loaded.
-func (g Group) choose(req PermitRequest, b LoadBound, now time.Time) (int, bool) {
-	mean := g.mean(b)
+// chooseTarget returns the index of the target for a request, or -1, and whether the directory
+// had the chat there. A returning chat stays on its target unless that violates the bound; other
+// requests get the first target in rendezvous order that has capacity, or else the least loaded
+// one.
+func (g Group) chooseTarget(req PermitRequest, b LoadBound, now time.Time) (int, bool) {
+	mean := g.meanLoad(b)
 	if p, ok := g.directory.Get(req.Key); ok && p.Target != "" {
-		i := g.index(p.Target)
-		if i >= 0 && g.eligible(g.engines[i], req) && fits(g.engines[i], req, limit(b, mean, returningShare)) {
+		i := g.targetIndex(p.Target)
+		if i >= 0 && g.eligible(g.targets[i], req) && hasCapacity(g.targets[i], req, maxLoad(b, mean, returningChatShare)) {
 			return i, true
 		}
 	}
 	if req.Final {
-		// Sent here by a group that is fuller: what others reported may be a
-		// second old, so the group's own mean counts where it is higher.
-		mean = max(mean, g.mean(LoadBound{}))
+		// Redirected by a more loaded group. Loads reported by others may be a second old, so
+		// this group's own mean is used if it is higher.
+		mean = max(mean, g.meanLoad(LoadBound{}))
 	}
-	if i := g.first(req, limit(b, mean, newShare), now); i >= 0 {
+	if i := g.firstInRendezvousOrder(req, maxLoad(b, mean, newChatShare), now); i >= 0 {
 		return i, false
 	}
-	return g.leastLoaded(req, limit(b, mean, newShare), now), false
+	return g.leastLoadedTarget(req, maxLoad(b, mean, newChatShare), now), false
 }
 
-// first returns the first engine of the chat's rendezvous order that is not
-// above its part of most. A chat whose place was forgotten with an owner that
-// died thus finds its engine again.
-func (g Group) first(req PermitRequest, most int, now time.Time) int {
+// firstInRendezvousOrder returns the first target in the chat's rendezvous order that has
+// capacity within its slow-start share of limit. After the loss of an owner and its directory, a
+// chat thus returns to the same target.
+func (g Group) firstInRendezvousOrder(req PermitRequest, limit int, now time.Time) int {
 	if req.Key == 0 {
 		return -1
 	}
 	best := -1
-	var top uint64
-	for i, e := range g.engines {
-		if !g.eligible(e, req) || !fits(e, req, int(float64(most)*slowStartPart(e, now))) {
+	var bestScore uint64
+	for i, t := range g.targets {
+		if !g.eligible(t, req) || !hasCapacity(t, req, int(float64(limit)*slowStartFactor(t, now))) {
 			continue
 		}
-		if score := hash.Mix(req.Key, e.key); best < 0 || score > top {
-			best, top = i, score
+		if score := hash.Mix(req.Key, t.key); best < 0 || score > bestScore {
+			best, bestScore = i, score
 		}
 	}
 	return best
 }
 
-func (g Group) leastLoaded(req PermitRequest, most int, now time.Time) int {
+func (g Group) leastLoadedTarget(req PermitRequest, limit int, now time.Time) int {
 	best := -1
 	var bestLoad float64
 	var bestScore uint64
-	for i, e := range g.engines {
-		if !g.eligible(e, req) || !fits(e, req, most) {
+	for i, t := range g.targets {
+		if !g.eligible(t, req) || !hasCapacity(t, req, limit) {
 			continue
 		}
-		load := float64(e.Load()) / slowStartPart(e, now)
-		score := hash.Mix(req.Key, e.key)
+		load := float64(t.Load()) / slowStartFactor(t, now)
+		score := hash.Mix(req.Key, t.key)
 		if best < 0 || load < bestLoad || (load == bestLoad && score > bestScore) {
 			best, bestLoad, bestScore = i, load, score
 		}
@@ -170,20 +170,20 @@
 	return best
 }
 
-// fits tells whether e may take one more.
-func fits(e Target, req PermitRequest, most int) bool {
-	slots := e.Slots
+// hasCapacity reports whether e may take one more request.
+func hasCapacity(t Target, req PermitRequest, limit int) bool {
+	slots := t.Slots
 	if req.Rank > 0 {
-		slots -= int(reserveShare * float64(e.Slots))
+		slots -= int(reservedShare * float64(t.Slots))
 	}
-	return e.Load()+1 <= min(most, slots)
+	return t.Load()+1 <= min(limit, slots)
 }
 
-// slowStartPart rises from minSlowStart to 1 while an engine that came back warms.
-func slowStartPart(e Target, now time.Time) float64 {
-	up := now.Sub(e.Since)
-	if e.Since.IsZero() || up >= slowStart {
+// slowStartFactor rises from minSlowStartFactor to 1 during the slow start of a target.
+func slowStartFactor(t Target, now time.Time) float64 {
+	up := now.Sub(t.Since)
+	if t.Since.IsZero() || up >= slowStartDuration {
 		return 1
 	}
-	return minSlowStart + (1-minSlowStart)*float64(up)/float64(slowStart)
+	return minSlowStartFactor + (1-minSlowStartFactor)*float64(up)/float64(slowStartDuration)
 }
--- a/core/routing/queue.go
+++ b/core/routing/queue.go
@@ -11,40 +11,36 @@
 	"github.com/yardhall/yardhall/core/table"
 )
 
-// A request that finds no place waits in its group: served by rank, then by the account with
-// the fewest requests in flight for its weight, then by age. In a full line the account that
-// waits with most for its weight gives way, and is refused at once, so that a surge pushes
-// out its own requests first.
-//
-// Inputs: rank, account, weight and age of the requests that wait, requests in flight by
-// account, the limits of the class.
+// A request that gets no permit is queued in its group. The queue is served by rank, then by the
+// account with the fewest requests in flight relative to its weight, then by age. If the queue of
+// a rank is full, the newest request of the account with the most queued requests relative to its
+// weight is evicted and refused at once, so that a surge evicts its own requests first.
 const (
-	// defaultQueueLimit bounds a class without a limit of its own, in requests. Chosen, not
-	// measured.
+	// defaultQueueLimit is the number of queued requests of a class that has no limit configured.
 	defaultQueueLimit = 64
-	// rerouteAtOnce bounds the requests sent on in one call of Reroute. Chosen, not measured.
-	rerouteAtOnce = 16
+	// maxReroutes bounds the requests redirected in one call of Reroute.
+	maxReroutes = 16
 )
 
-// queue holds waiting requests by rank, then by account, then by arrival.
+// queue holds queued requests by rank, then by account, then in order of arrival.
 type queue struct {
 	ranks table.Table[int, rankQueue]
-	// index finds a request's rank and account by its request.
-	index table.Table[ident.PermitID, PermitRequest]
-	seq   uint64
+	// byPermit holds all queued requests by permit id.
+	byPermit table.Table[ident.PermitID, PermitRequest]
+	seq      uint64
 }
 
 type rankQueue struct {
-	accounts table.Table[ident.Account, table.Table[uint64, PermitRequest]]
-	count    int
+	byAccount table.Table[ident.Account, table.Table[uint64, PermitRequest]]
+	count     int
 }
 
-func (q queue) len() int { return q.index.Len() }
+func (q queue) len() int { return q.byPermit.Len() }
 
-// waitingBefore tells whether a request for the same model waits in this rank or
-// a better one.
-func (q queue) waitingBefore(req PermitRequest) bool {
-	for _, w := range q.index.All() {
+// hasWaitingAhead reports whether a request for the same model is queued in the same or a better
+// rank.
+func (q queue) hasWaitingAhead(req PermitRequest) bool {
+	for _, w := range q.byPermit.All() {
 		if w.Model == req.Model && w.Rank <= req.Rank {
 			return true
 		}
@@ -56,26 +52,26 @@
 	q.seq++
 	req.seq, req.queuedAt = q.seq, now
 	r, _ := q.ranks.Get(req.Rank)
-	line, _ := r.accounts.Get(req.Account)
-	r.accounts = r.accounts.With(req.Account, line.With(req.seq, req))
+	pending, _ := r.byAccount.Get(req.Account)
+	r.byAccount = r.byAccount.With(req.Account, pending.With(req.seq, req))
 	r.count++
 	q.ranks = q.ranks.With(req.Rank, r)
-	q.index = q.index.With(req.Permit, req)
+	q.byPermit = q.byPermit.With(req.Permit, req)
 	return q
 }
 
 func (q queue) without(id ident.PermitID) queue {
-	req, ok := q.index.Get(id)
+	req, ok := q.byPermit.Get(id)
 	if !ok {
 		return q
 	}
-	q.index = q.index.Without(id)
+	q.byPermit = q.byPermit.Without(id)
 	r, _ := q.ranks.Get(req.Rank)
-	line, _ := r.accounts.Get(req.Account)
-	line = line.Without(req.seq)
-	r.accounts = r.accounts.With(req.Account, line)
-	if line.Len() == 0 {
-		r.accounts = r.accounts.Without(req.Account)
+	pending, _ := r.byAccount.Get(req.Account)
+	pending = pending.Without(req.seq)
+	r.byAccount = r.byAccount.With(req.Account, pending)
+	if pending.Len() == 0 {
+		r.byAccount = r.byAccount.Without(req.Account)
 	}
 	r.count--
 	q.ranks = q.ranks.With(req.Rank, r)
@@ -85,37 +81,37 @@
 	return q
 }
 
-func (q queue) withoutRouter(router ident.Host, keep uint64) queue {
-	for id, req := range q.index.All() {
-		if req.Router == router && req.Incarnation != keep {
+func (q queue) withoutRouter(router ident.Host, currentIncarnation uint64) queue {
+	for id, req := range q.byPermit.All() {
+		if req.Router == router && req.Incarnation != currentIncarnation {
 			q = q.without(id)
 		}
 	}
 	return q
 }
 
-// next returns the request to serve: of the best rank, that of the account with
-// the fewest requests in flight for its weight, oldest first. Models without a
-// free place are passed over.
-func (q queue) next(inFlight table.Table[ident.Account, int], full []ident.Model) (PermitRequest, bool) {
+// next returns the request to serve: in the best rank, the oldest request of the account with the
+// fewest requests in flight relative to its weight. Requests for models in fullModels are
+// skipped.
+func (q queue) next(inFlight table.Table[ident.Account, int], fullModels []ident.Model) (PermitRequest, bool) {
 	for _, r := range q.ranks.All() {
-		if req, ok := r.next(inFlight, full); ok {
+		if req, ok := r.next(inFlight, fullModels); ok {
 			return req, true
 		}
 	}
 	return PermitRequest{}, false
 }
 
-func (r rankQueue) next(inFlight table.Table[ident.Account, int], full []ident.Model) (PermitRequest, bool) {
+func (r rankQueue) next(inFlight table.Table[ident.Account, int], fullModels []ident.Model) (PermitRequest, bool) {
 	var best PermitRequest
 	var bestShare float64
-	for account, line := range r.accounts.All() {
-		req, ok := firstOf(line, full)
+	for account, pending := range r.byAccount.All() {
+		req, ok := oldestExcept(pending, fullModels)
 		if !ok {
 			continue
 		}
 		n, _ := inFlight.Get(account)
-		share := float64(n+1) / weightOf(req)
+		share := float64(n+1) / weightOrDefault(req)
 		if best.Permit == "" || share < bestShare || (share == bestShare && req.seq < best.seq) {
 			best, bestShare = req, share
 		}
@@ -123,96 +119,97 @@
 	return best, best.Permit != ""
 }
 
-func firstOf(line table.Table[uint64, PermitRequest], full []ident.Model) (PermitRequest, bool) {
-	for _, req := range line.All() {
-		if !slices.Contains(full, req.Model) {
+func oldestExcept(pending table.Table[uint64, PermitRequest], models []ident.Model) (PermitRequest, bool) {
+	for _, req := range pending.All() {
+		if !slices.Contains(models, req.Model) {
 			return req, true
 		}
 	}
 	return PermitRequest{}, false
 }
 
-func weightOf(a PermitRequest) float64 {
-	if a.Weight <= 0 {
+func weightOrDefault(req PermitRequest) float64 {
+	if req.Weight <= 0 {
 		return 1
 	}
-	return a.Weight
+	return req.Weight
 }
 
 func (q queue) expire(now time.Time) (queue, []PermitRequest) {
-	var late []PermitRequest
-	for _, req := range q.index.All() {
+	var expired []PermitRequest
+	for _, req := range q.byPermit.All() {
 		if !now.Before(req.Deadline) || (req.MaxWait > 0 && now.Sub(req.queuedAt) >= req.MaxWait) {
-			late = append(late, req)
+			expired = append(expired, req)
 		}
 	}
-	for _, req := range late {
+	for _, req := range expired {
 		q = q.without(req.Permit)
 	}
-	return q, late
+	return q, expired
 }
 
-// longestLine returns the newest request of the account that waits with most requests
-// for its weight in the given rank.
-func (q queue) longestLine(rank int) (PermitRequest, float64) {
+// newestOfBusiestAccount returns the newest request of the account with the most queued requests
+// relative to its weight in the given rank, and that ratio.
+func (q queue) newestOfBusiestAccount(rank int) (PermitRequest, float64) {
 	r, _ := q.ranks.Get(rank)
-	var worst PermitRequest
-	var most float64
-	for _, line := range r.accounts.All() {
+	var newest PermitRequest
+	var highestShare float64
+	for _, pending := range r.byAccount.All() {
 		var last PermitRequest
-		for _, req := range line.All() {
+		for _, req := range pending.All() {
 			last = req
 		}
-		if share := float64(line.Len()) / weightOf(last); share > most {
-			worst, most = last, share
+		if share := float64(pending.Len()) / weightOrDefault(last); share > highestShare {
+			newest, highestShare = last, share
 		}
 	}
-	return worst, most
+	return newest, highestShare
 }
 
-// enqueue adds ask. In a full line the account that waits with most for its
-// weight gives way, so a surge pushes out its own requests first.
+// enqueue queues a request. If the queue of its rank is full, it evicts a request of the account
+// with the most queued requests relative to its weight, or refuses the new one if its own account
+// has the most.
 func (g Group) enqueue(req PermitRequest, now time.Time) (Group, Answer) {
-	bound := req.QueueLimit
-	bound = cmp.Or(bound, defaultQueueLimit)
+	limit := req.QueueLimit
+	limit = cmp.Or(limit, defaultQueueLimit)
 	r, _ := g.queue.ranks.Get(req.Rank)
-	if r.count < bound {
+	if r.count < limit {
 		g.queue = g.queue.with(req, now)
 		return g, Queued{Position: r.count + 1}
 	}
-	line, _ := r.accounts.Get(req.Account)
-	worst, most := g.queue.longestLine(req.Rank)
-	if float64(line.Len()+1)/weightOf(req) >= most {
+	pending, _ := r.byAccount.Get(req.Account)
+	evicted, highestShare := g.queue.newestOfBusiestAccount(req.Rank)
+	if float64(pending.Len()+1)/weightOrDefault(req) >= highestShare {
 		return g, Refused{Reason: ReasonQueueFull, RetryAfter: retryAfter}
 	}
-	g.queue = g.queue.without(worst.Permit).with(req, now)
-	g.shed = append(g.shed[:len(g.shed):len(g.shed)], worst)
+	g.queue = g.queue.without(evicted.Permit).with(req, now)
+	g.shed = append(g.shed[:len(g.shed):len(g.shed)], evicted)
 	return g, Queued{Position: r.count}
 }
 
-// TakeShed returns the requests that gave way since the last call.
+// TakeShed returns the requests evicted since the last call.
 func (g Group) TakeShed() (Group, []PermitRequest) {
 	shed := g.shed
 	g.shed = nil
 	return g, shed
 }
 
-// Reroute takes requests out of the queue that a lighter group may serve, and
-// returns that group.
+// Reroute removes requests from the queue that a less loaded group may serve, and returns them
+// and that group.
 func (g Group) Reroute(b LoadBound) (Group, []PermitRequest, GroupID) {
-	to, ok := g.lighterGroup(b)
+	to, ok := g.leastLoadedGroup(b)
 	if g.queue.len() == 0 || !ok {
 		return g, nil, GroupID{}
 	}
-	var moved []PermitRequest
-	for _, req := range g.queue.index.All() {
-		if !req.Final && len(moved) < rerouteAtOnce {
-			moved = append(moved, req)
+	var rerouted []PermitRequest
+	for _, req := range g.queue.byPermit.All() {
+		if !req.Final && len(rerouted) < maxReroutes {
+			rerouted = append(rerouted, req)
 		}
 	}
-	for _, req := range moved {
+	for _, req := range rerouted {
 		g.queue = g.queue.without(req.Permit)
-		g = g.withLocation(req.Key, ChatLocation{Group: to})
+		g = g.withChatLocation(req.Key, ChatLocation{Group: to})
 	}
-	return g, moved, to
+	return g, rerouted, to
 }
--- a/core/routing/request.go
+++ b/core/routing/request.go
@@ -9,53 +9,53 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// PermitRequest is a router's request for a permit: a place on an engine.
+// PermitRequest is a router's request for a permit to run a request on a target.
 type PermitRequest struct {
 	Permit      ident.PermitID
 	Router      ident.Host
 	Incarnation uint64
 	Account     ident.Account
-	// Weight is the account's part under contention; 1 where 0.
+	// Weight is the account's relative share under contention; 0 means 1.
 	Weight float64
-	// Rank is that of the priority class; lower goes first.
+	// Rank is the rank of the priority class; lower ranks are served first.
 	Rank int
-	// QueueLimit bounds the requests of this rank that wait; MaxWait how long.
+	// QueueLimit bounds the queued requests of this rank, MaxWait the time in the queue; 0 means
+	// the default limit and no maximum time.
 	QueueLimit int
 	MaxWait    time.Duration
 	Model      ident.Model
-	// Key identifies the chat; 0 where there is none.
+	// Key identifies the chat; 0 if there is none.
 	Key hash.Key
-	// Work is the estimate of tokens to prefill and decode.
+	// Work is the estimated number of tokens to prefill and decode.
 	Work     int64
 	Deadline time.Time
-	// Exclude are targets that this request has tried.
+	// Exclude lists the targets that this request has already tried.
 	Exclude []ident.Target
-	// Final is set where another group has sent the request on; it is not sent
-	// further.
+	// Final is set if another group redirected the request here; it is not redirected again.
 	Final bool
 
 	queuedAt time.Time
 	seq      uint64
 }
 
-// Answer is what becomes of a PermitRequest. The set is closed.
+// Answer is the answer to a PermitRequest. The set of types is closed.
 type Answer interface{ answer() }
 
 type (
-	// Granted gives a permit.
+	// Granted grants a permit.
 	Granted struct {
 		Target ident.Target
-		// Known is true where the chat was remembered on that engine.
+		// Known is set if the directory had the chat on that target.
 		Known bool
 	}
-	// Queued means that Granted or Refused follows.
+	// Queued means that the request is queued; Granted or Refused follows.
 	Queued struct{ Position int }
-	// Elsewhere names the group to request the permit of instead.
+	// Elsewhere redirects the request to another group.
 	Elsewhere struct{ Group GroupID }
 	// Refused means that the request gets no permit.
 	Refused struct {
 		Reason RefusalReason
-		// RetryAfter is when another request makes sense.
+		// RetryAfter is the time after which the caller may retry.
 		RetryAfter time.Duration
 	}
 )
@@ -65,10 +65,10 @@
 func (Elsewhere) answer() {}
 func (Refused) answer()   {}
 
-// RefusalReason says why there is no permit.
+// RefusalReason is the reason why a request got no permit.
 type RefusalReason string
 
-// Reasons of a refusal.
+// Reasons for a refusal.
 const (
 	ReasonNoTarget  RefusalReason = "no_target"
 	ReasonQueueFull RefusalReason = "queue_full"
@@ -77,16 +77,16 @@
 	ReasonOverBound RefusalReason = "over_bound"
 )
 
-// retryAfter is the advice to callers of refused requests. Chosen, not measured.
+// retryAfter is the retry delay given to callers of refused requests.
 const retryAfter = time.Second
 
-// GroupLoad is what an owner reports of its group.
+// GroupLoad is the load of a group, as its owner reports it.
 type GroupLoad struct {
 	Group GroupID
-	// Load is the requests in flight on the group's usable engines.
+	// Load is the number of requests in flight on the group's usable targets.
 	Load int
-	// Usable counts those engines.
+	// Usable is the number of usable targets.
 	Usable int
-	// Waiting counts the requests in its queue.
+	// Waiting is the number of queued requests.
 	Waiting int
 }
