--- a/core/host/hub.go
+++ b/core/host/hub.go
@@ -58,7 +58,7 @@
 // isPrimaryOfAny tells whether some host has this one for its primary hub.
 func (t *transition) isPrimaryOfAny() bool {
 	for _, c := range t.seeded.clients.All() {
-		if c.primary && c.live(t.now) {
+		if c.primary && c.isLive(t.now) {
 			return true
 		}
 	}
@@ -122,14 +122,14 @@
 		t.registry = t.registry.WithReport(w, t.now)
 	}
 	t.rememberTable(t.config)
-	t.note(LogHub, string(t.settings.ID), "answers other hosts")
+	t.log(LogHub, string(t.settings.ID), "answers other hosts")
 }
 
 // hubReply adds to a reply what a hub knows in place of a leader.
 func (t *transition) hubReply(r PollReply, m Poll) PollReply {
 	r.Leader, r.Hosts, r.Replicas = t.seeded.leaderContact, t.seeded.hosts, t.seeded.replicas
 	r.Cut = !t.replicaRepliedWithin(hubTimeout)
-	if confirmed := t.requests.Confirmed(); !confirmed.IsZero() {
+	if confirmed := t.requests.Confirmation(); !confirmed.IsZero() {
 		r.Age = confirmed.Age(t.now)
 		r.Fresh = r.Age < replicaTimeout
 	}
@@ -166,7 +166,7 @@
 func (t *transition) groupReport() (hosts []hubs.Host, due bool) {
 	var names []string
 	for _, c := range t.seeded.clients.All() {
-		if c.primary && c.serves && c.live(t.now) {
+		if c.primary && c.serves && c.isLive(t.now) {
 			hosts = append(hosts, c.host)
 			names = append(names, string(c.host.Host), c.host.Relay)
 		}
--- a/core/host/pollreply.go
+++ b/core/host/pollreply.go
@@ -22,11 +22,11 @@
 	}
 	t.noteReply(from, m)
 	t.keepRegistrations(t.takeRegistrations(from, m))
-	t.takeCrashEntries(from, m.CrashEntries)
+	t.handleCrashEntries(from, m.CrashEntries)
 	t.takeHubList(m)
 	t.takeFallbackPeers(m)
 	t.takeTable(m)
-	t.takeZones(from, m.Zones)
+	t.adoptZones(from, m.Zones)
 	sent, known := t.takeRound(m.Round)
 	if m.Summed && known {
 		t.seeded.loadsAt = t.now.Add(time.Duration(len(m.Loads)) * loadByteTime)
@@ -45,7 +45,7 @@
 	t.noteNewestTable(m.Version)
 	if m.Hosts > 0 {
 		t.seeded.hosts = m.Hosts
-		t.requests = t.requests.WithHosts(m.Hosts)
+		t.requests = t.requests.WithHostCount(m.Hosts)
 	}
 	if known {
 		t.takeConfirmation(m, sent)
@@ -71,11 +71,11 @@
 func (t *transition) takeRegistrations(from ident.Host, m PollReply) []registry.Worker {
 	workers, err := registry.Unpack(m.Workers)
 	if err != nil {
-		t.note(LogReplicaContact, string(from), "sent registrations that cannot be read: "+err.Error())
+		t.log(LogReplicaContact, string(from), "sent registrations that cannot be read: "+err.Error())
 	}
 	workers, err = registry.Checked(workers)
 	if err != nil {
-		t.note(LogReplicaContact, string(from), "sent a registration that cannot be used: "+err.Error())
+		t.log(LogReplicaContact, string(from), "sent a registration that cannot be used: "+err.Error())
 	}
 	if len(workers) == 0 {
 		return nil
@@ -102,7 +102,7 @@
 	case s.newerKnownAt.IsZero():
 		s.newerKnownAt = t.now
 	}
-	t.requests = t.requests.WithNewerKnown(!s.newerKnownAt.IsZero())
+	t.requests = t.requests.WithNewerTableKnown(!s.newerKnownAt.IsZero())
 }
 
 // followLeader turns to the leader that the leader contact knows of. A contact that knows
@@ -149,7 +149,7 @@
 func (t *transition) noteReply(from ident.Host, m PollReply) {
 	c, known := t.seeded.contacts.Get(from)
 	if !known || c.lost {
-		t.note(LogReplicaContact, string(from), "found")
+		t.log(LogReplicaContact, string(from), "found")
 	}
 	c.lastReply, c.lost, c.crashList = t.now, false, m.CrashList
 	if !m.Cut {
