--- a/core/crashes/observer_test.go
+++ b/core/crashes/observer_test.go
@@ -53,6 +53,6 @@
 		r = r.With(crashes.Report{Content: content(fmt.Sprint("more ", i)), SeenAt: start}, start)
 	}
 	require.LessOrEqual(t, len(r.Recent(start)), 256)
-	require.Equal(t, r.Total, r.With(r.Recent(start)[3], start).Total, "a duplicate report")
+	require.Equal(t, r.Total, r.With(r.Recent(start)[3], start).Total, "the same again")
 	require.Empty(t, r.Recent(start.Add(time.Minute)))
 }
--- a/core/routing/group.go
+++ b/core/routing/group.go
@@ -60,7 +60,7 @@
 	// Foreign is the load that the target reports beyond the permits.
 	Foreign int
 	// peak and lastPeak are the highest values of Mine in this and the previous window. Load
-	// reports are compared with them, so that a late report does not make the group's own load
+	// reports are compared with them, so that a delayed report does not make the group's own load
 	// look foreign.
 	peak, lastPeak int
 	windowStart    time.Time
