--- a/core/crashes/evidence.go
+++ b/core/crashes/evidence.go
@@ -74,7 +74,7 @@
 		return e
 	}
 	updated := slices.Clone(have.crashes)
-	if i := slices.IndexFunc(updated, c.isSameWorkerCrash); i >= 0 {
+	if i := slices.IndexFunc(updated, c.isSameCrash); i >= 0 {
 		updated[i].AnswerStarted = updated[i].AnswerStarted && c.AnswerStarted
 		if c.SentAt.After(updated[i].SentAt) {
 			updated[i].SentAt = c.SentAt
@@ -146,8 +146,8 @@
 
 func lastCrashAt(crashes []Crash) time.Time { return crashes[len(crashes)-1].EndedAt }
 
-// isSameWorkerCrash reports whether two crashes are due to the same exit of a worker's process.
-func (c Crash) isSameWorkerCrash(other Crash) bool {
+// isSameCrash reports whether two crashes are due to the same exit of a worker's process.
+func (c Crash) isSameCrash(other Crash) bool {
 	return c.Worker == other.Worker && c.EndedAt.Sub(other.EndedAt).Abs() < sameCrashTolerance
 }
 
@@ -157,11 +157,11 @@
 	if c.Attempt != "" || other.Attempt != "" {
 		return c.Attempt == other.Attempt
 	}
-	return c.isSameWorkerCrash(other) && c.SentAt.Sub(other.SentAt).Abs() < sameCrashTolerance
+	return c.isSameCrash(other) && c.SentAt.Sub(other.SentAt).Abs() < sameCrashTolerance
 }
 
 // candidate is a request with the crashes that it may have caused; attributed is their count
-// after attributedCrashes.
+// by countAttributed.
 type candidate struct {
 	content    Content
 	crashes    []Crash
@@ -175,7 +175,7 @@
 	attributed := workerCrashes{}
 	for _, c := range e.candidates() {
 		remaining := attributed.without(c.crashes)
-		n := attributedCrashes(remaining)
+		n := countAttributed(remaining)
 		if n < crashesToWatch {
 			continue
 		}
@@ -202,7 +202,7 @@
 	var out []candidate
 	for content, known := range e.byContent.All() {
 		possible := slices.DeleteFunc(slices.Clone(known.crashes), func(c Crash) bool { return c.AnswerStarted && unstarted.has(c) })
-		if n := attributedCrashes(possible); n >= crashesToWatch {
+		if n := countAttributed(possible); n >= crashesToWatch {
 			out = append(out, candidate{content: content, crashes: possible, attributed: n})
 		}
 	}
@@ -213,14 +213,12 @@
 	return out
 }
 
-// attributedCrashes returns how many of a request's crashes are held against it.
-func attributedCrashes(crashes []Crash) int {
-	return max(countConsecutive(crashes), countDistinctMoments(crashes)-1)
-}
+// countAttributed returns how many of a request's crashes are held against it.
+func countAttributed(all []Crash) int { return max(consecutive(all), distinctMoments(all)-1) }
 
-// countDistinctMoments returns how many of the crashes, in order of time, occurred more than
+// distinctMoments returns how many of the crashes, in order of time, occurred more than
 // simultaneityWindow apart.
-func countDistinctMoments(crashes []Crash) int {
+func distinctMoments(crashes []Crash) int {
 	n := 0
 	var last time.Time
 	for _, c := range crashes {
@@ -232,9 +230,9 @@
 	return n
 }
 
-// countConsecutive returns how many of the crashes, in order of time, followed one another: the
+// consecutive returns how many of the crashes, in order of time, followed one another: the
 // request was sent again after the previous crash.
-func countConsecutive(crashes []Crash) int {
+func consecutive(crashes []Crash) int {
 	n := 0
 	var last time.Time
 	for _, c := range crashes {
@@ -249,9 +247,7 @@
 // workerCrashes are crashes by worker, one for each exit of its process.
 type workerCrashes map[ident.Target][]Crash
 
-func (w workerCrashes) has(c Crash) bool {
-	return slices.ContainsFunc(w[c.Worker], c.isSameWorkerCrash)
-}
+func (w workerCrashes) has(c Crash) bool { return slices.ContainsFunc(w[c.Worker], c.isSameCrash) }
 
 func (w workerCrashes) add(crashes []Crash) {
 	for _, c := range crashes {
