--- a/core/host/backoff.go
+++ b/core/host/backoff.go
@@ -37,7 +37,7 @@
 // callTargets returns the targets of the call's group, or of its service if it has no group yet.
 func (t *transition) callTargets(c call) []config.Target {
 	var out []config.Target
-	for _, p := range t.layout.services[c.service.ID] {
+	for _, p := range t.layout.groupsByService[c.service.ID] {
 		if c.group == (routing.GroupID{}) || p.id == c.group {
 			out = append(out, p.targets...)
 		}
--- a/core/host/clients.go
+++ b/core/host/clients.go
@@ -75,10 +75,10 @@
 		t.seeded.clients = t.seeded.clients.Without(from)
 		return
 	}
-	t.grantLease(from, m)
+	t.recordLease(from, m)
 	t.grantZonesLease(from, m)
 	t.handleRelayedHeartbeats(from, m.Beats)
-	t.replacedReceived(from, m.Replaced)
+	t.applyReplacements(from, m.Replaced)
 	t.handleCrashEntries(from, m.CrashEntries)
 	t.handleCrashReports(from, m.Crashes)
 	t.sendReply(from, t.newClient(from, m), m)
@@ -130,7 +130,7 @@
 	}
 	for _, w := range workers {
 		if reason := t.invalidReason(w); reason != "" {
-			t.heartbeatInvalid(w.ID, reason+", relayed by "+string(from))
+			t.rejectHeartbeat(w.ID, reason+", relayed by "+string(from))
 		} else if t.registry.HasRoom(w.ID) {
 			t.registerHeartbeat(w)
 		}
@@ -160,7 +160,7 @@
 		r = t.hubReply(r, m)
 	}
 	if r.Summed {
-		r.Loads = t.sumLoads().others(to, t.seeded.hub.outsideLoads)
+		r.Loads = t.sumLoads().excluding(to, t.seeded.hub.outsideLoads)
 	}
 	r.Neighbour = c.fallback
 	if m.Lead {
@@ -181,7 +181,7 @@
 
 // withReplicaFields sets the fields of a reply that only replicas know.
 func (t *transition) withReplicaFields(r PollReply, m Poll) PollReply {
-	r.Leader, r.Hosts = t.raft.Leader().Address(), t.sumLoads().serving
+	r.Leader, r.Hosts = t.raft.Leader().Address(), t.sumLoads().entryHosts
 	if m.Lead {
 		r.Fresh = t.raft.LeaseHeld(t.now)
 		r.Replicas = t.memberAddresses()
--- a/core/host/drain.go
+++ b/core/host/drain.go
@@ -14,7 +14,7 @@
 	t.log(LogDraining, string(t.settings.ID), "")
 	if !t.settings.Seeded() {
 		t.sendHeartbeats()
-		t.ownersChanged()
+		t.updateOwners()
 	}
 	t.stepRaft(raft.HandOver{})
 }
