--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -153,7 +153,7 @@
 	s := d.settings
 	o := peers.Options{
 		Self: s.ID(), Fleet: s.Host.Fleet, Key: s.Peer.Key, MaxMessage: settings.Bytes(s.Peer.MaxSize),
-		Counters: d.counters, Boot: boot, PeerBoots: &peers.BootTracker{}, From: from, Blocked: d.options.BlockedHost,
+		Counters: d.counters, Incarnation: boot, PeerIncarnations: &peers.IncarnationTracker{}, From: from, Blocked: d.options.BlockedHost,
 	}
 	if s.Peer.Cert == "" {
 		return o, nil
--- a/gateway/declines_test.go
+++ b/gateway/declines_test.go
@@ -45,13 +45,13 @@
 	}
 	b.next(standin.FullForAWhile)
 	var calls sync.WaitGroup
-	answers := make(chan http.Header, callers+1)
+	headers := make(chan http.Header, callers+1)
 	for range callers {
 		r := b.request(t.Context(), "/patient/x", "body")
 		calls.Go(func() {
 			if resp, err := http.DefaultTransport.RoundTrip(r); err == nil {
 				_ = resp.Body.Close()
-				answers <- resp.Header
+				headers <- resp.Header
 			}
 		})
 	}
@@ -59,11 +59,11 @@
 	status, _, header, err := b.call("/patient/x", "body")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, status)
-	answers <- header
+	headers <- header
 	calls.Wait()
 	require.Equal(t, callers+1, b.workers[0].Asked())
-	close(answers)
-	for header := range answers {
+	close(headers)
+	for header := range headers {
 		after, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 		require.NoError(t, err)
 		require.Greater(t, after, standin.WorkerBackoff.Seconds()/2, "the advised delay covers the worker's backoff")
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -23,16 +23,16 @@
 		retryAfter string
 		want       requests.Notice
 	}{
-		"nothing said":                         {status: 200},
-		"leaves":                               {status: 200, leaving: "1", want: requests.Notice{Leaving: true}},
-		"leaves and fails":                     {status: 500, leaving: "1", want: requests.Notice{Leaving: true}},
-		"does not leave":                       {status: 200, leaving: "0"},
-		"another process answers":              {status: 421, leaving: "1", retryAfter: "3"},
-		"whole seconds":                        {status: 503, retryAfter: "3", want: backoff(3 * time.Second)},
-		"too many requests":                    {status: 429, retryAfter: "2", want: requests.Notice{SoftBackoff: 2 * time.Second}},
-		"leaves and backs off":                 {status: 503, leaving: "1", retryAfter: "1", want: requests.Notice{Leaving: true, Backoff: time.Second}},
-		"advice with a whole answer":           {status: 200, retryAfter: "3"},
-		"declined without saying for how long": {status: 503},
+		"no notice":                        {status: 200},
+		"leaving":                          {status: 200, leaving: "1", want: requests.Notice{Leaving: true}},
+		"leaving and failing":              {status: 500, leaving: "1", want: requests.Notice{Leaving: true}},
+		"not leaving":                      {status: 200, leaving: "0"},
+		"another process responds":         {status: 421, leaving: "1", retryAfter: "3"},
+		"whole seconds":                    {status: 503, retryAfter: "3", want: backoff(3 * time.Second)},
+		"too many requests":                {status: 429, retryAfter: "2", want: requests.Notice{SoftBackoff: 2 * time.Second}},
+		"leaving and backing off":          {status: 503, leaving: "1", retryAfter: "1", want: requests.Notice{Leaving: true, Backoff: time.Second}},
+		"delay with a successful response": {status: 200, retryAfter: "3"},
+		"declined without a delay":         {status: 503},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -111,19 +111,19 @@
 	}
 	p.lastSweep = now
 	for id, list := range p.idle {
-		kept := list[:0]
+		remaining := list[:0]
 		for _, c := range list {
 			if now.Before(c.idleDeadline) {
-				kept = append(kept, c)
+				remaining = append(remaining, c)
 			} else {
 				_ = c.Close()
 			}
 		}
-		if len(kept) == 0 {
+		if len(remaining) == 0 {
 			delete(p.idle, id)
 			continue
 		}
-		p.idle[id] = kept
+		p.idle[id] = remaining
 	}
 }
 
@@ -170,7 +170,7 @@
 }
 
 // isOpenAndIdle reports whether a non-blocking read finds an idle connection neither closed by
-// the worker nor with unread bytes, which would be taken for the next response.
+// the worker nor with unread bytes, which would be parsed as the next response.
 func (c *workerConn) isOpenAndIdle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -49,7 +49,7 @@
 	c.state = next
 	var out []requests.Decision
 	for _, d := range decisions {
-		if _, note := d.(requests.WorkerChanged); !note {
+		if _, logOnly := d.(requests.WorkerChanged); !logOnly {
 			out = append(out, d)
 		}
 	}
@@ -119,7 +119,6 @@
 	return n
 }
 
-// next sets the faults of the next requests of every worker.
 // next sets the faults of the next requests of every worker.
 func (b *testbed) next(faults ...standin.WorkerFault) {
 	for _, w := range b.workers {
@@ -185,7 +184,7 @@
 	faults := map[string]standin.WorkerFault{
 		"full": standin.Full, "cut before the head": standin.CutHead, "cut in the body": standin.CutBody,
 		"reset without length": standin.ResetUnframed, "closed without length": standin.Unframed,
-		"surplus answer": standin.Extra, "late answer first": standin.LateFirst, "wrong id": standin.WrongID,
+		"surplus response": standin.Extra, "late response first": standin.LateFirst, "wrong id": standin.WrongID,
 		"unsigned": standin.Unsigned, "failing": standin.Failing,
 	}
 	for name, fault := range faults {
--- a/peers/boots.go
+++ b/peers/incarnations.go
@@ -8,40 +8,40 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// BootTracker holds the latest known incarnation of each other host. A connection to an earlier
+// IncarnationTracker holds the latest known incarnation of each other host. A connection to an earlier
 // incarnation is dead, but a host that lost power does not close it. The zero value is empty.
-type BootTracker struct {
+type IncarnationTracker struct {
 	mu     sync.Mutex
 	byHost map[ident.Host]uint64
 }
 
 // advance records the incarnation of a host that has connected, if it is later than the known one.
-func (b *BootTracker) advance(from ident.Host, boot uint64) {
+func (b *IncarnationTracker) advance(from ident.Host, incarnation uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.byHost == nil {
 		b.byHost = map[ident.Host]uint64{}
 	}
-	if boot > b.byHost[from] {
-		b.byHost[from] = boot
+	if incarnation > b.byHost[from] {
+		b.byHost[from] = incarnation
 	}
 }
 
 // set records the incarnation that has just responded to a call, even if it is earlier than the
 // known one: incarnations come from the host's clock, which may have been set back.
-func (b *BootTracker) set(of ident.Host, boot uint64) {
+func (b *IncarnationTracker) set(of ident.Host, incarnation uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.byHost == nil {
 		b.byHost = map[ident.Host]uint64{}
 	}
-	b.byHost[of] = boot
+	b.byHost[of] = incarnation
 }
 
 // isSuperseded reports whether a later incarnation of the host is known. An incarnation of 0 is
 // unknown and never superseded.
-func (b *BootTracker) isSuperseded(of ident.Host, boot uint64) bool {
+func (b *IncarnationTracker) isSuperseded(of ident.Host, incarnation uint64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return boot != 0 && boot < b.byHost[of]
+	return incarnation != 0 && incarnation < b.byHost[of]
 }
--- a/peers/restart_test.go
+++ b/peers/restart_test.go
@@ -24,11 +24,11 @@
 	received atomic.Int32
 }
 
-func startProcess(t *testing.T, address string, boot uint64) *hostProcess {
+func startProcess(t *testing.T, address string, incarnation uint64) *hostProcess {
 	l, err := net.Listen("tcp", address)
 	require.NoError(t, err)
 	o := options("b")
-	o.Boot = boot
+	o.Incarnation = incarnation
 	p := &hostProcess{listener: l}
 	p.server = peers.NewServer(o, func(ident.Host, host.Message) { p.received.Add(1) })
 	go func() { _ = p.server.Serve(l) }()
@@ -70,7 +70,7 @@
 	first := startProcess(t, "127.0.0.1:0", 1)
 	address := first.listener.Addr().String()
 	o := options("a")
-	o.PeerBoots = &peers.BootTracker{}
+	o.PeerIncarnations = &peers.IncarnationTracker{}
 	p := peers.NewPool(o)
 	defer p.Close()
 	p.SetAddresses([]config.Host{{ID: "b", Address: address}})
@@ -93,7 +93,7 @@
 // clock was set back, so that its incarnation seems older than the one that connected before.
 func TestClockSetBackKeepsConnection(t *testing.T) {
 	o := options("a")
-	o.PeerBoots = &peers.BootTracker{}
+	o.PeerIncarnations = &peers.IncarnationTracker{}
 	own, _ := serve(t, o)
 	conn, err := rpc.Dial("tcp", own)
 	require.NoError(t, err)
--- a/peers/sender.go
+++ b/peers/sender.go
@@ -24,8 +24,8 @@
 	queue  chan host.Message
 	client *rpc.Client
 	conn   *countedConn
-	// boot is the incarnation of the process at the other end; 0 if unknown.
-	boot          uint64
+	// incarnation is the incarnation of the process at the other end; 0 if unknown.
+	incarnation   uint64
 	addr          string
 	calls         chan *rpc.Call
 	callsInFlight int
@@ -167,7 +167,7 @@
 	counted := &countedConn{Conn: conn, counters: o.Counters}
 	client := rpc.NewClientWithCodec(newGobCodec(counted, o.MaxMessage))
 	var ack Ack
-	hello := client.Go(serviceName+".Hello", Hello{From: o.Self, Fleet: o.Fleet, Key: o.Key, Boot: o.Boot}, &ack, make(chan *rpc.Call, 1))
+	hello := client.Go(serviceName+".Hello", Hello{From: o.Self, Fleet: o.Fleet, Key: o.Key, Boot: o.Incarnation}, &ack, make(chan *rpc.Call, 1))
 	select {
 	case <-hello.Done:
 		err = hello.Error
@@ -178,18 +178,18 @@
 		_ = client.Close()
 		return errors.Wrap(err, "hello")
 	}
-	s.client, s.conn, s.boot, s.addr, s.callsInFlight, s.redialDelay = client, counted, ack.Boot, addr, 0, 0
+	s.client, s.conn, s.incarnation, s.addr, s.callsInFlight, s.redialDelay = client, counted, ack.Boot, addr, 0, 0
 	s.calls = make(chan *rpc.Call, maxCalls)
 	o.Counters.Connected.Add(1)
 	o.Counters.Dialed.Add(1)
-	o.PeerBoots.set(s.to, ack.Boot)
+	o.PeerIncarnations.set(s.to, ack.Boot)
 	return nil
 }
 
 // isDead reports whether messages on the connection would be lost, because the other end has
 // closed it or belongs to an earlier incarnation of the host.
 func (s *sender) isDead() bool {
-	return s.conn.readFailed.Load() || s.pool.options.PeerBoots.isSuperseded(s.to, s.boot)
+	return s.conn.readFailed.Load() || s.pool.options.PeerIncarnations.isSuperseded(s.to, s.incarnation)
 }
 
 func (s *sender) dial(addr string) (net.Conn, error) {
--- a/peers/server.go
+++ b/peers/server.go
@@ -48,11 +48,11 @@
 	TLS *tls.Config
 	// Counters count the traffic; nil is replaced by new ones.
 	Counters *Counters
-	// Boot is the incarnation of this process, which increases with each start.
-	Boot uint64
-	// PeerBoots holds the incarnations of other hosts. A Server updates it and a Pool
+	// Incarnation is the incarnation of this process, which increases with each start.
+	Incarnation uint64
+	// PeerIncarnations holds the incarnations of other hosts. A Server updates it and a Pool
 	// uses it, so both need the same one; nil is replaced by a new one.
-	PeerBoots *BootTracker
+	PeerIncarnations *IncarnationTracker
 	// SkipHandshakeLimit, if not nil, reports whether connections with an address are exempt
 	// from the limit of concurrent handshakes, such as those between replicas. Nil exempts all.
 	SkipHandshakeLimit func(netip.Addr) bool
@@ -100,8 +100,8 @@
 		o.Counters = &Counters{}
 	}
 	o.HandshakeSlotTimeout = cmp.Or(o.HandshakeSlotTimeout, defaultHandshakeSlotTimeout)
-	if o.PeerBoots == nil {
-		o.PeerBoots = &BootTracker{}
+	if o.PeerIncarnations == nil {
+		o.PeerIncarnations = &IncarnationTracker{}
 	}
 	return o
 }
@@ -237,8 +237,8 @@
 	}
 	s.from = h.From
 	s.authenticated.Store(true)
-	o.PeerBoots.advance(h.From, h.Boot)
-	a.Taken, a.Boot = 1, o.Boot
+	o.PeerIncarnations.advance(h.From, h.Boot)
+	a.Taken, a.Boot = 1, o.Incarnation
 	return nil
 }
 
--- a/targets/contract.go
+++ b/targets/contract.go
@@ -46,7 +46,8 @@
 
 // Load is a target's load report.
 type Load struct {
-	// Boot increases with each start of the target, Seq with each report.
+	// Boot is the incarnation of the target, which increases with each start. Seq increases with
+	// each report.
 	Boot     uint64    `json:"boot"`
 	Seq      uint64    `json:"seq"`
 	Time     time.Time `json:"time"`
