--- a/core/host/call.go
+++ b/core/host/call.go
@@ -212,7 +212,7 @@
 		t.log(LogOwnerUnreachable, c.group.String(), string(c.owner))
 		t.send(c.owner, ReleasePermit{Place: c.permit})
 		t.pickWithoutPermit(c)
-		t.suspect(c.owner)
+		t.suspectPeer(c.owner)
 	case c.phase == phaseQueued:
 		// The reply with the grant may have been lost.
 		c.timerAt = earlierTime(c.request.Deadline, t.now.Add(queuedPollInterval))
--- a/core/host/owner.go
+++ b/core/host/owner.go
@@ -23,7 +23,7 @@
 
 // refreshGroups updates the engines of owned groups from configuration and health.
 func (t *transition) refreshGroups() {
-	for _, p := range t.sortedParts() {
+	for _, p := range t.sortedGroups() {
 		g, ok := t.groups.Get(p.id.String())
 		if !ok {
 			continue
@@ -51,7 +51,7 @@
 	}
 	t.nextProbeAt = t.now.Add(probeInterval)
 	t.refreshGroups()
-	for _, p := range t.sortedParts() {
+	for _, p := range t.sortedGroups() {
 		if !t.groups.Has(p.id.String()) {
 			continue
 		}
--- a/core/host/zones.go
+++ b/core/host/zones.go
@@ -108,14 +108,14 @@
 // recordReplicaVersion records whether a replica's version supports drained zones.
 func (t *transition) recordReplicaVersion(m Raft) {
 	if !m.KnowsZones {
-		t.seeded.earlierReplicaAt = t.now
+		t.seeded.earlierReplicaSeenAt = t.now
 	}
 }
 
 // allReplicasSupportZones reports whether all replicas that sent a message recently support drained
 // zones.
 func (t *transition) allReplicasSupportZones() bool {
-	return t.now.Sub(t.seeded.earlierReplicaAt) > earlierReplicaLifetime
+	return t.now.Sub(t.seeded.earlierReplicaSeenAt) > earlierReplicaLifetime
 }
 
 // isZoneOrder reports whether a write is a zone order.
