--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -27,7 +27,7 @@
 		"leaving":                          {status: 200, leaving: "1", want: requests.Notice{Leaving: true}},
 		"leaving and failing":              {status: 500, leaving: "1", want: requests.Notice{Leaving: true}},
 		"not leaving":                      {status: 200, leaving: "0"},
-		"another process responds":         {status: 421, leaving: "1", retryAfter: "3"},
+		"another process answers":          {status: 421, leaving: "1", retryAfter: "3"},
 		"whole seconds":                    {status: 503, retryAfter: "3", want: backoff(3 * time.Second)},
 		"too many requests":                {status: 429, retryAfter: "2", want: requests.Notice{SoftBackoff: 2 * time.Second}},
 		"leaving and backing off":          {status: 503, leaving: "1", retryAfter: "1", want: requests.Notice{Leaving: true, Backoff: time.Second}},
