--- a/callers/read.go
+++ b/callers/read.go
@@ -142,11 +142,11 @@
 		Class: ident.Class(h.Get(HeaderClass)), IdempotencyKey: h.Get(HeaderIdempotencyKey),
 		Path: strings.TrimPrefix(c.Request().URL.Path, "/services/"+c.Param("service")),
 	}
-	limit, verdict := a.parseTimeout(h)
+	timeout, verdict := a.parseTimeout(h)
 	if verdict != nil {
 		return r, verdict
 	}
-	r.Deadline = a.deps.Now().Add(limit)
+	r.Deadline = a.deps.Now().Add(timeout)
 	if text := h.Get(HeaderNotRepeatable); text != "" {
 		atMostOnce, err := strconv.ParseBool(text)
 		if err != nil {
--- a/callers/serve.go
+++ b/callers/serve.go
@@ -90,20 +90,20 @@
 	x.Sink = s
 	s.cacheable = r.IdempotencyKey != "" && a.deps.Responses != nil
 	effects := a.deps.Core.Submit(r)
-	var last outcome.Attempt
+	var lastResult outcome.Attempt
 	for {
 		select {
 		case e := <-effects:
 			switch e := e.(type) {
 			case host.Dispatch:
 				s.target = e.Target.ID
-				last = a.attempt(ctx, x, e)
-				a.deps.Core.ReportAttempt(host.AttemptEnded{Request: r.ID, Attempt: e.Attempt, Result: last})
+				lastResult = a.attempt(ctx, x, e)
+				a.deps.Core.ReportAttempt(host.AttemptEnded{Request: r.ID, Attempt: e.Attempt, Result: lastResult})
 			case host.Finish:
 				if s.cacheable && s.headerSent && e.Verdict.Outcome == outcome.Ran {
-					a.deps.Responses.Add(r.ID, s.copy)
+					a.deps.Responses.Add(r.ID, s.recorded)
 				}
-				a.observe(e.Verdict, last, s, startedAt)
+				a.observe(e.Verdict, lastResult, s, startedAt)
 				return s.finish(e.Verdict)
 			}
 		case <-c.Request().Context().Done():
@@ -138,9 +138,9 @@
 	return result
 }
 
-func (a *API) observe(v host.Verdict, last outcome.Attempt, s *sink, startedAt time.Time) {
+func (a *API) observe(v host.Verdict, lastResult outcome.Attempt, s *sink, startedAt time.Time) {
 	o := Observation{Outcome: v.Outcome, Duration: a.deps.Now().Sub(startedAt), TimeToFirstByte: s.timeToFirstByte, Target: s.target}
-	if answered, ok := last.(outcome.Answered); ok {
+	if answered, ok := lastResult.(outcome.Answered); ok {
 		o.CachedTokens, o.PromptTokens = answered.CachedTokens, answered.PromptTokens
 	}
 	a.deps.Observe(o)
--- a/callers/sink.go
+++ b/callers/sink.go
@@ -29,7 +29,7 @@
 	// cacheable is set while the response is to be cached. It is cleared once the body exceeds
 	// maxCachedBody.
 	cacheable bool
-	copy      host.Answer
+	recorded  host.Answer
 }
 
 // Begin implements targets.Sink.
@@ -48,7 +48,7 @@
 	}
 	s.timeToFirstByte = s.api.deps.Now().Sub(s.startedAt)
 	s.headerSent = true
-	s.copy = host.Answer{Status: status, ContentType: h.Get("Content-Type")}
+	s.recorded = host.Answer{Status: status, ContentType: h.Get("Content-Type")}
 	s.w.WriteHeader(status)
 	return nil
 }
@@ -69,10 +69,10 @@
 	return nil
 }
 
-// record appends to the copy of the response for the cache.
+// record appends p to the response that is recorded for the cache.
 func (s *sink) record(p []byte) {
-	if s.cacheable = s.cacheable && len(s.copy.Body)+len(p) <= maxCachedBody; s.cacheable {
-		s.copy.Body = append(s.copy.Body, p...)
+	if s.cacheable = s.cacheable && len(s.recorded.Body)+len(p) <= maxCachedBody; s.cacheable {
+		s.recorded.Body = append(s.recorded.Body, p...)
 	}
 }
 
--- a/gateway/abort.go
+++ b/gateway/abort.go
@@ -22,32 +22,33 @@
 	byRequest map[ident.Request]*exchange
 }
 
-// add registers an exchange, whose connection must be open.
-func (r *exchangeTable) add(x *exchange) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.byRequest == nil {
-		r.byRequest = map[ident.Request]*exchange{}
+// add registers x for AbortAttempt, which sets the read timeout of its connection: x.conn must
+// be set.
+func (t *exchangeTable) add(x *exchange) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.byRequest == nil {
+		t.byRequest = map[ident.Request]*exchange{}
 	}
-	r.byRequest[x.dispatch.Request] = x
+	t.byRequest[x.dispatch.Request] = x
 }
 
 // remove removes x, unless another exchange of the same request has replaced it.
-func (r *exchangeTable) remove(x *exchange) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.byRequest[x.dispatch.Request] == x {
-		delete(r.byRequest, x.dispatch.Request)
+func (t *exchangeTable) remove(x *exchange) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.byRequest[x.dispatch.Request] == x {
+		delete(t.byRequest, x.dispatch.Request)
 	}
 }
 
-// AbortAttempt ends an attempt whose worker process is gone, after abortGrace. It does not
-// block.
-func (s *Server) AbortAttempt(b requests.AbortAttempt) {
+// AbortAttempt ends an attempt whose worker process is gone, unless the response arrives within
+// abortGrace. It does not block.
+func (s *Server) AbortAttempt(a requests.AbortAttempt) {
 	s.exchanges.mu.Lock()
 	defer s.exchanges.mu.Unlock()
-	x := s.exchanges.byRequest[b.Request]
-	if x == nil || x.dispatch.Attempt != b.Attempt {
+	x := s.exchanges.byRequest[a.Request]
+	if x == nil || x.dispatch.Attempt != a.Attempt {
 		return
 	}
 	x.mu.Lock()
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -52,20 +52,20 @@
 
 // send writes the request. It returns nil on success, NeverSent if no byte can have reached
 // the worker and Interrupted otherwise.
-func (x *exchange) send(ctx context.Context, lastEvent string) outcome.Attempt {
+func (x *exchange) send(ctx context.Context, lastEventID string) outcome.Attempt {
 	now := x.server.now()
 	conn, err := x.server.pool.acquire(ctx, x.dispatch.Worker, now)
 	if err != nil {
 		return outcome.NeverSent{Reason: err.Error(), ConnectTimedOut: isTimeout(err) && ctx.Err() == nil, ConnectRefused: isConnRefused(err)}
 	}
 	x.conn = conn
-	left := x.dispatch.Deadline.Sub(x.server.now())
-	if left <= 0 {
+	remaining := x.dispatch.Deadline.Sub(x.server.now())
+	if remaining <= 0 {
 		_ = conn.Close()
 		return outcome.NeverSent{Reason: "deadline exceeded before the request was sent"}
 	}
 	_ = conn.SetDeadline(clock.Real(x.dispatch.Deadline))
-	head := x.encodeHead(x.server.headers.toWorker(x.request.Header, x.dispatch, left, lastEvent))
+	head := x.encodeHead(x.server.headers.toWorker(x.request.Header, x.dispatch, remaining, lastEventID))
 	x.server.exchanges.add(x)
 	n, err := conn.Write(append(head, x.body...))
 	if err != nil {
@@ -95,7 +95,7 @@
 	if isTimeout(err) && x.isAborted() {
 		return errWorkerRestarted
 	}
-	if isTimeout(err) && x.server.shouldCancel(x.dispatch, x.server.now().Sub(x.sentAt)) {
+	if isTimeout(err) && x.server.reportHeaderTimeout(x.dispatch, x.server.now().Sub(x.sentAt)) {
 		return errHeaderTimeout
 	}
 	x.setReadTimeout(0)
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -171,9 +171,9 @@
 	return l
 }
 
-// toWorker returns the headers of a request that is sent to the worker of d. left is the time
-// until the deadline.
-func (h Headers) toWorker(in http.Header, d requests.Dispatch, left time.Duration, lastEvent string) http.Header {
+// toWorker returns the headers of a request that is sent to the worker of d. remaining is the
+// time until the deadline.
+func (h Headers) toWorker(in http.Header, d requests.Dispatch, remaining time.Duration, lastEventID string) http.Header {
 	out := endToEnd(in)
 	for _, name := range h.callerHeaders() {
 		if values, ok := in[name]; ok {
@@ -186,7 +186,7 @@
 	if d.Account != "" {
 		out.Set(h.Account, string(d.Account))
 	}
-	out.Set(h.DeadlineMs, strconv.FormatInt(max(1, left.Milliseconds()), 10))
+	out.Set(h.DeadlineMs, strconv.FormatInt(max(1, remaining.Milliseconds()), 10))
 	out.Set(h.ExpectedWorker, string(d.Worker.ID))
 	if d.CacheFrom != "" {
 		out.Set(h.CacheFrom, d.CacheFrom)
@@ -194,8 +194,8 @@
 	if d.Engine {
 		out.Set(h.Rank, strconv.Itoa(min(max(d.Rank, 0), lowestRank)))
 	}
-	if lastEvent != "" {
-		out.Set(h.LastEventID, lastEvent)
+	if lastEventID != "" {
+		out.Set(h.LastEventID, lastEventID)
 	}
 	return out
 }
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -40,17 +40,18 @@
 	process workerProcess
 	// idleDeadline is when the connection expires if it is idle.
 	idleDeadline time.Time
-	fresh        bool
+	// newlyDialed is set until the pool hands the connection out again.
+	newlyDialed bool
 }
 
 // workerProcess identifies one process of a worker. Connections are pooled by process, as
-// those to an earlier process of the worker are dead.
+// those to an earlier incarnation of the worker are dead.
 type workerProcess struct {
-	id   ident.Target
-	born registry.Incarnation
+	id          ident.Target
+	incarnation registry.Incarnation
 }
 
-func processOf(w registry.Worker) workerProcess { return workerProcess{id: w.ID, born: w.Born} }
+func processOf(w registry.Worker) workerProcess { return workerProcess{id: w.ID, incarnation: w.Born} }
 
 // Pool holds idle connections to workers. It never resends a request.
 type Pool struct {
@@ -78,7 +79,7 @@
 		}
 		if c.isOpenAndIdle() {
 			p.Reused.Add(1)
-			c.fresh = false
+			c.newlyDialed = false
 			return c, nil
 		}
 		_ = c.Close()
@@ -166,7 +167,7 @@
 		return nil, errors.Wrap(err, "connect")
 	}
 	p.Dialed.Add(1)
-	return &workerConn{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), process: processOf(w), fresh: true}, nil
+	return &workerConn{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), process: processOf(w), newlyDialed: true}, nil
 }
 
 // isOpenAndIdle reports whether a non-blocking read finds an idle connection neither closed by
@@ -185,8 +186,8 @@
 	}
 	idle := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, rerr := unix.Read(int(fd), one[:])
+		var buf [1]byte
+		_, rerr := unix.Read(int(fd), buf[:])
 		idle = errors.Is(rerr, unix.EAGAIN)
 		return true
 	})
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -150,20 +150,22 @@
 }
 
 // reportHeader reports to the core that a response has begun, together with the load, backoff
-// and shutdown that the worker reports in its header.
-func (s *Server) reportHeader(d requests.Dispatch, resp *http.Response, took time.Duration) {
+// and shutdown that the worker reports in its header. elapsed is the time since the request
+// was sent.
+func (s *Server) reportHeader(d requests.Dispatch, resp *http.Response, elapsed time.Duration) {
 	s.core.Decide(requests.HeaderReceived{
 		Request: d.Request, Attempt: d.Attempt, Worker: d.Worker.ID,
 		Declined: reportsNotRun(resp, s.headers), Notice: s.headers.parseNotice(resp, s.now()),
-		Load: s.headers.parseLoad(resp.Header), Route: d.Route.Name, Took: took,
+		Load: s.headers.parseLoad(resp.Header), Route: d.Route.Name, Took: elapsed,
 	})
 }
 
-// shouldCancel reports a missing response header to the core and returns whether the attempt
-// is canceled, because the request goes to another worker.
-func (s *Server) shouldCancel(d requests.Dispatch, waited time.Duration) bool {
-	for _, decision := range s.core.Decide(requests.HeaderTimedOut{Request: d.Request, Attempt: d.Attempt, Waited: waited}) {
-		if g, ok := decision.(requests.CancelAttempt); ok && g.Request == d.Request {
+// reportHeaderTimeout reports to the core that no response header has arrived and returns
+// whether the core cancels the attempt, as it sends the request to another worker. elapsed is the
+// time since the request was sent.
+func (s *Server) reportHeaderTimeout(d requests.Dispatch, elapsed time.Duration) bool {
+	for _, decision := range s.core.Decide(requests.HeaderTimedOut{Request: d.Request, Attempt: d.Attempt, Waited: elapsed}) {
+		if c, ok := decision.(requests.CancelAttempt); ok && c.Request == d.Request {
 			return true
 		}
 	}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -165,9 +165,9 @@
 			continue
 		}
 		id = strings.TrimSpace(id)
-		before, err1 := strconv.ParseInt(last, 10, 64)
-		after, err2 := strconv.ParseInt(id, 10, 64)
-		if err1 == nil && err2 == nil && after <= before {
+		previousNumber, err1 := strconv.ParseInt(last, 10, 64)
+		number, err2 := strconv.ParseInt(id, 10, 64)
+		if err1 == nil && err2 == nil && number <= previousNumber {
 			return "", errors.Errorf("event id %s is not greater than the last one, %s", id, last)
 		}
 		last = id
--- a/peers/incarnations.go
+++ b/peers/incarnations.go
@@ -16,32 +16,32 @@
 }
 
 // advance records the incarnation of a host that has connected, if it is later than the known one.
-func (b *IncarnationTracker) advance(from ident.Host, incarnation uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.byHost == nil {
-		b.byHost = map[ident.Host]uint64{}
+func (t *IncarnationTracker) advance(from ident.Host, incarnation uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.byHost == nil {
+		t.byHost = map[ident.Host]uint64{}
 	}
-	if incarnation > b.byHost[from] {
-		b.byHost[from] = incarnation
+	if incarnation > t.byHost[from] {
+		t.byHost[from] = incarnation
 	}
 }
 
 // set records the incarnation that has just responded to a call, even if it is earlier than the
 // known one: incarnations come from the host's clock, which may have been set back.
-func (b *IncarnationTracker) set(of ident.Host, incarnation uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.byHost == nil {
-		b.byHost = map[ident.Host]uint64{}
+func (t *IncarnationTracker) set(of ident.Host, incarnation uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.byHost == nil {
+		t.byHost = map[ident.Host]uint64{}
 	}
-	b.byHost[of] = incarnation
+	t.byHost[of] = incarnation
 }
 
 // isSuperseded reports whether a later incarnation of the host is known. An incarnation of 0 is
 // unknown and never superseded.
-func (b *IncarnationTracker) isSuperseded(of ident.Host, incarnation uint64) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return incarnation != 0 && incarnation < b.byHost[of]
+func (t *IncarnationTracker) isSuperseded(of ident.Host, incarnation uint64) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return incarnation != 0 && incarnation < t.byHost[of]
 }
--- a/peers/sender.go
+++ b/peers/sender.go
@@ -17,7 +17,8 @@
 	"github.com/yardhall/yardhall/core/ident"
 )
 
-// sender owns the connection to one host. Other goroutines than that of run only use its queue.
+// sender owns the connection to one host. Only the goroutine that executes run accesses its
+// fields; other goroutines send to queue.
 type sender struct {
 	pool   *Pool
 	to     ident.Host
@@ -52,7 +53,7 @@
 	}
 }
 
-// sendBatch sends m and other queued messages in one call. It connects first if necessary and
+// sendBatch sends m and up to maxBatch-1 queued messages in one call. It connects first if necessary and
 // blocks while maxCalls are in flight. Messages that cannot be sent are dropped and counted.
 func (s *sender) sendBatch(m host.Message) {
 	batch := Batch{Messages: []host.Message{m}}
--- a/targets/exchange.go
+++ b/targets/exchange.go
@@ -69,7 +69,7 @@
 	}
 	if x.Streamed && resp.StatusCode == http.StatusOK {
 		result := c.forwardStream(ctx, x, resp, stallTimer)
-		if _, left := result.(outcome.Abandoned); left {
+		if _, abandoned := result.(outcome.Abandoned); abandoned {
 			c.cancelStream(x)
 		}
 		return result
