--- a/core/confirmation/confirmation_test.go
+++ b/core/confirmation/confirmation_test.go
@@ -21,16 +21,16 @@
 		delay := rapid.Custom(func(t *rapid.T) time.Duration {
 			return time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 		})
-		held, now := confirmation.Confirmation{AsOf: start}, start
+		current, now := confirmation.Confirmation{AsOf: start}, start
 		for range rapid.IntRange(1, 5).Draw(t, "hosts") {
 			sent := now
 			now = now.Add(delay.Draw(t, "before the reply"))
-			age := held.Age(now)
+			age := current.Age(now)
 			now = now.Add(delay.Draw(t, "on the way"))
-			held = confirmation.FromReply(sent, age)
-			require.False(t, held.AsOf.After(start))
+			current = confirmation.FromReply(sent, age)
+			require.False(t, current.AsOf.After(start))
 		}
-		require.LessOrEqual(t, held.Age(now), 2*now.Sub(start))
+		require.LessOrEqual(t, current.Age(now), 2*now.Sub(start))
 	})
 }
 
--- a/core/crashes/answers.go
+++ b/core/crashes/answers.go
@@ -22,7 +22,7 @@
 // as a whole. It is immutable; the zero value is empty.
 type RecentAnswers struct {
 	newer, older table.Table[Content, time.Time]
-	since        time.Time
+	newerSince   time.Time
 }
 
 // With records a successful answer.
@@ -30,8 +30,8 @@
 	if content == "" {
 		return a
 	}
-	if a.newer.Len() >= maxAnswers || now.Sub(a.since) > answerRetention/2 {
-		a.older, a.newer, a.since = a.newer, table.Table[Content, time.Time]{}, now
+	if a.newer.Len() >= maxAnswers || now.Sub(a.newerSince) > answerRetention/2 {
+		a.older, a.newer, a.newerSince = a.newer, table.Table[Content, time.Time]{}, now
 	}
 	a.newer = a.newer.With(content, now)
 	return a
--- a/core/crashes/evidence_test.go
+++ b/core/crashes/evidence_test.go
@@ -75,10 +75,10 @@
 		}
 	}
 	require.Empty(t, crashCounts(e, "popular"))
-	again := evidenceOf(
+	repeated := evidenceOf(
 		reported{"x", crash("w1", 1, 0.1)}, reported{"x", crash("w1", 1.3, 0.4)}, reported{"x", crash("w1", 0.8, 0.1)},
 	)
-	require.Empty(t, crashCounts(again, "x"))
+	require.Empty(t, crashCounts(repeated, "x"))
 	overlapping := evidenceOf(reported{"x", crash("w1", 1, 0.5)}, reported{"x", crash("w2", 2, 1.5)}, reported{"x", crash("w3", 3, 2.5)})
 	require.Equal(t, map[string]int{"x": 2}, crashCounts(overlapping, "x"), "each was sent before the previous crash")
 	overlapping = overlapping.With(content("x"), crash("w4", 4, 3.5), start)
@@ -164,9 +164,9 @@
 	for i := range 5 {
 		c := crash("w1", float64(1+2*i), 0.1)
 		c.Attempt = "r1/1"
-		e = e.With(content("held up"), c, start)
+		e = e.With(content("one attempt"), c, start)
 		c.Attempt, c.Worker = fmt.Sprint("r2/", i), ident.Target(fmt.Sprint("w", i))
-		e = e.With(content("sent anew"), c, start)
+		e = e.With(content("several attempts"), c, start)
 	}
-	require.Equal(t, map[string]int{"sent anew": 3}, crashCounts(e, "held up", "sent anew"))
+	require.Equal(t, map[string]int{"several attempts": 3}, crashCounts(e, "one attempt", "several attempts"))
 }
--- a/core/crashes/list_test.go
+++ b/core/crashes/list_test.go
@@ -66,7 +66,7 @@
 		lists := make([]crashes.List, hosts)
 		for range rapid.IntRange(1, 12).Draw(t, "events") {
 			at := start.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "at")*3) * time.Second)
-			e := entry(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "request"), rapid.SampledFrom([]int{0, 2, 3}).Draw(t, "ends"), at)
+			e := entry(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "request"), rapid.SampledFrom([]int{0, 2, 3}).Draw(t, "crashes"), at)
 			h := rapid.IntRange(0, hosts-1).Draw(t, "host")
 			lists[h] = lists[h].With(start.Add(time.Minute), e)
 		}
--- a/core/crashes/observer_test.go
+++ b/core/crashes/observer_test.go
@@ -15,8 +15,8 @@
 // TestSuspectsNeedProofOfProcessExit guards against applying the proof for one process of a
 // worker to its other processes or to other workers.
 func TestSuspectsNeedProofOfProcessExit(t *testing.T) {
-	suspect := func(name, worker string, life uint64) crashes.Suspect {
-		return crashes.Suspect{Content: content(name), Incarnation: life, Crash: crash(worker, 1, 0.5)}
+	suspect := func(name, worker string, incarnation uint64) crashes.Suspect {
+		return crashes.Suspect{Content: content(name), Incarnation: incarnation, Crash: crash(worker, 1, 0.5)}
 	}
 	now := start.Add(time.Second)
 	var o crashes.Observer
--- a/core/inforce/inforce.go
+++ b/core/inforce/inforce.go
@@ -20,7 +20,7 @@
 // # Usage
 //
 //	s = s.WithGrant(inforce.Grant{From: from, Incarnation: incarnation, OldestInForce: oldest, SentVersion: version}, now)
-//	s, oldest := s.TakeReport(held, settings, now)
+//	s, oldest := s.TakeReport(currentVersion, settings, now)
 //	s, released := s.ReleaseWrites(settings, host, now)
 package inforce
 
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -41,7 +41,7 @@
 func TestGroupUnderArbitraryEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := start
-		n := rapid.IntRange(1, 6).Draw(t, "engines")
+		n := rapid.IntRange(1, 6).Draw(t, "targets")
 		specs := targets(n, 4, "m")
 		b := routing.LoadBound{LoadFactor: 1.5}
 		g := routing.NewGroup(id, now).WithTargets(specs, now)
@@ -157,8 +157,8 @@
 	var b routing.LoadBound
 	g := routing.NewGroup(id, start).WithTargets(targets(1, 1, "m"), start)
 	g, first := g.RequestPermit(req("a", "x", 1), b, start)
-	g, again := g.RequestPermit(req("a", "x", 1), b, start)
-	require.Equal(t, first.(routing.Granted).Target, again.(routing.Granted).Target)
+	g, repeated := g.RequestPermit(req("a", "x", 1), b, start)
+	require.Equal(t, first.(routing.Granted).Target, repeated.(routing.Granted).Target)
 	require.Equal(t, 1, g.Targets()[0].Mine)
 	g, _ = g.RequestPermit(req("b", "x", 1), b, start)
 	g, _ = g.RequestPermit(req("b", "x", 1), b, start)
--- a/core/zones/zones_test.go
+++ b/core/zones/zones_test.go
@@ -20,42 +20,42 @@
 // applying one after another order for its zone was committed.
 func TestOrderAppliesUnlessSuperseded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var held zones.Drained
-		states := append(make([]zones.Drained, 0, maxOrders), held)
+		var current zones.Drained
+		states := append(make([]zones.Drained, 0, maxOrders), current)
 		want := map[ident.Zone]bool{}
 		for range rapid.IntRange(1, maxOrders-1).Draw(t, "orders") {
 			zone := ident.Zone(fmt.Sprint("hall-", rapid.IntRange(0, 4).Draw(t, "zone")))
 			received := states[rapid.IntRange(0, len(states)-1).Draw(t, "received")]
 			c := zones.Change{Zone: zone, Drained: rapid.Bool().Draw(t, "drained"), Seen: received.RevisionOf(zone)}
-			next, outcome := held.Apply(c)
+			next, outcome := current.Apply(c)
 			switch {
 			case want[zone] == c.Drained:
 				require.Equal(t, zones.Done, outcome)
-				require.Equal(t, held, next, "a repeated order changes nothing")
-			case received.RevisionOf(zone) != held.RevisionOf(zone):
+				require.Equal(t, current, next, "a repeated order changes nothing")
+			case received.RevisionOf(zone) != current.RevisionOf(zone):
 				require.Equal(t, zones.Superseded, outcome)
-				require.Equal(t, held, next)
+				require.Equal(t, current, next)
 			default:
 				require.Equal(t, zones.Done, outcome)
-				require.Equal(t, held.Revision+1, next.Revision)
+				require.Equal(t, current.Revision+1, next.Revision)
 				want[zone] = c.Drained
 			}
-			held = next
-			states = append(states, held)
-			requireDrained(t, want, held)
+			current = next
+			states = append(states, current)
+			requireDrained(t, want, current)
 		}
 	})
 }
 
-func requireDrained(t *rapid.T, want map[ident.Zone]bool, held zones.Drained) {
+func requireDrained(t *rapid.T, want map[ident.Zone]bool, drainedZones zones.Drained) {
 	n := 0
 	for zone, drained := range want {
-		require.Equal(t, drained, held.IsDrained(zone), zone)
+		require.Equal(t, drained, drainedZones.IsDrained(zone), zone)
 		if drained {
 			n++
 		}
 	}
-	require.Len(t, held.DrainedZones(), n)
+	require.Len(t, drainedZones.DrainedZones(), n)
 }
 
 // TestLatestStateWins guards against a host that reverts to an older state when states arrive out
@@ -69,26 +69,26 @@
 			last, _ = last.Apply(zones.Change{Zone: zone, Drained: !last.IsDrained(zone), Seen: last.RevisionOf(zone)})
 			states = append(states, last)
 		}
-		var held zones.Drained
+		var current zones.Drained
 		revision := uint64(0)
 		for range 30 {
-			held = held.Latest(rapid.SampledFrom(states).Draw(t, "sent"))
-			require.GreaterOrEqual(t, held.Revision, revision, "the revision never decreases")
-			revision = held.Revision
+			current = current.Latest(rapid.SampledFrom(states).Draw(t, "sent"))
+			require.GreaterOrEqual(t, current.Revision, revision, "the revision never decreases")
+			revision = current.Revision
 		}
-		require.Equal(t, last, held.Latest(last))
+		require.Equal(t, last, current.Latest(last))
 	})
 }
 
 func TestZoneCountIsBounded(t *testing.T) {
-	var held zones.Drained
+	var current zones.Drained
 	outcome := zones.Done
 	for i := 0; outcome == zones.Done; i++ {
 		require.Less(t, i, 1000)
-		held, outcome = held.Apply(zones.Change{Zone: ident.Zone(fmt.Sprint(i)), Drained: true})
+		current, outcome = current.Apply(zones.Change{Zone: ident.Zone(fmt.Sprint(i)), Drained: true})
 	}
 	require.Equal(t, zones.TooMany, outcome)
-	_, outcome = held.Apply(zones.Change{Zone: "0", Drained: false, Seen: held.RevisionOf("0")})
+	_, outcome = current.Apply(zones.Change{Zone: "0", Drained: false, Seen: current.RevisionOf("0")})
 	require.Equal(t, zones.Done, outcome, "a known zone can still be changed")
 	require.Error(t, zones.Change{}.Validate())
 }
