--- a/core/host/capacity_test.go
+++ b/core/host/capacity_test.go
@@ -29,7 +29,7 @@
 	"github.com/yardhall/yardhall/core/routing"
 )
 
-var writeCapacity = flag.String("capacity", "", "file whose table of slopes is measured and written again")
+var writeCapacity = flag.String("capacity", "", "file whose table of slopes is measured and updated")
 
 // slope is a cost per unit, fitted over several sizes by least squares.
 type slope struct {
@@ -332,8 +332,8 @@
 	page, err := os.ReadFile(*writeCapacity)
 	require.NoError(t, err)
 	head, rest, ok := strings.Cut(string(page), beginMark)
-	require.True(t, ok, "the page has lost its mark")
+	require.True(t, ok, "the begin mark is missing in the page")
 	_, tail, ok := strings.Cut(rest, endMark)
-	require.True(t, ok, "the page has lost its end mark")
+	require.True(t, ok, "the end mark is missing in the page")
 	require.NoError(t, os.WriteFile(*writeCapacity, []byte(head+b.String()+tail), 0o600))
 }
--- a/core/host/earlier_test.go
+++ b/core/host/earlier_test.go
@@ -52,7 +52,7 @@
 			f.reduce(p.to, host.MessageReceived{From: p.from, Message: p.message})
 		}
 		_, served := f.sendRequest(entryName(0), "/x/1", "old").(requests.Dispatch)
-		require.False(t, served, "by an answer to the process before")
+		require.False(t, served, "confirmed by a reply to the earlier process")
 	}
 }
 
@@ -74,7 +74,7 @@
 	f.onDeliver = func(p seededPacket) {
 		a, ok := p.message.(host.PollReply)
 		if ok && p.to == entryName(0) {
-			require.Empty(t, a.Gateway, "a table that the present process holds")
+			require.Empty(t, a.Gateway, "sent a table that the new process already holds")
 		}
 	}
 	for _, p := range kept {
--- a/core/host/fallback_test.go
+++ b/core/host/fallback_test.go
@@ -109,12 +109,12 @@
 		}
 		f.blocked = map[[2]ident.Host]bool{}
 		f.delay = nil
-		taken := false
+		committed := false
 		for range 8 {
 			f.run(500 * time.Millisecond)
-			taken = taken || f.leader() != "" && f.putTable(f.leader(), f.table(2, "l"), time.Second)
+			committed = committed || f.leader() != "" && f.putTable(f.leader(), f.table(2, "l"), time.Second)
 		}
-		require.True(rt, taken, "the table cannot be changed though all cuts are over")
+		require.True(rt, committed, "the table cannot be changed after all links are restored")
 		since := f.now
 		for f.now.Sub(since) < requests.DefaultKeyLease {
 			injectFaults()
@@ -122,7 +122,7 @@
 		for i := range 4 {
 			_, served := f.sendRequest(entryName(i), "/x/1", "k").(requests.Dispatch)
 			if served {
-				rt.Fatalf("entry %d serves a key %s after it was taken away", i, f.now.Sub(since))
+				rt.Fatalf("entry %d accepts a key %s after it was revoked", i, f.now.Sub(since))
 			}
 		}
 	})
@@ -165,14 +165,14 @@
 // it. It must step down, and a change must be accepted soon after the links are restored.
 func TestChangesAreAcceptedSoonAfterALeaderCannotSend(t *testing.T) {
 	f := newServingFleet(t, 4)
-	led := f.leader()
+	leader := f.leader()
 	for replica := range f.disks {
-		f.blocked[[2]ident.Host{led, replica}] = replica != led
+		f.blocked[[2]ident.Host{leader, replica}] = replica != leader
 	}
-	cut := f.now
+	blockedAt := f.now
 	for f.leader() != "" {
 		f.run(seededStep)
-		require.Less(t, f.now.Sub(cut), 3*time.Second, "a leader that nobody hears keeps its lease")
+		require.Less(t, f.now.Sub(blockedAt), 3*time.Second, "a leader that cannot send keeps its lease")
 	}
 	clear(f.blocked)
 	f.run(500 * time.Millisecond)
--- a/core/host/heartbeat_test.go
+++ b/core/host/heartbeat_test.go
@@ -67,7 +67,7 @@
 	f.reduce(replicaName(0), host.MessageReceived{From: entryName(0), Message: host.Poll{
 		Round: 1, Serves: true, Boot: 1 << 40, Beats: registry.Pack([]registry.Worker{bad, good, unreadable}),
 	}})
-	require.Equal(t, 1, f.states[replicaName(0)].Registry().Len(), "the others hold")
+	require.Equal(t, 1, f.states[replicaName(0)].Registry().Len(), "only the valid heartbeat registers")
 	f.reduce(entryName(0), host.MessageReceived{From: replicaName(0), Message: host.PollReply{
 		Epoch: 5, Revision: 3, Workers: registry.Pack([]registry.Worker{unreadable, good}),
 	}})
@@ -100,7 +100,7 @@
 	for i := range 5 {
 		w := f.worker(i, registry.Ready)
 		w.Born, w.Seq = firstIncarnation+60_000, 1
-		require.False(t, f.deliverWorkerEvent(f.relayOf[w.ID], host.HeartbeatReceived{Worker: w}).Accepted, "it is news, for replicas")
+		require.False(t, f.deliverWorkerEvent(f.relayOf[w.ID], host.HeartbeatReceived{Worker: w}).Accepted, "a new process must be reported to replicas")
 		require.True(t, f.deliverWorkerEvent(replicaName(i%3), host.HeartbeatReceived{Worker: w}).Accepted)
 	}
 	f.run(time.Second)
@@ -121,15 +121,15 @@
 	f.run(time.Second)
 	known := f.worker(1, registry.Ready)
 	require.True(t, f.deliverWorkerEvent(replicaName(0), host.HeartbeatReceived{Worker: known}).Accepted)
-	taken := 0
+	accepted := 0
 	for i := range 9000 {
 		w := f.worker(2, registry.Ready)
 		w.ID, w.Pool, w.Address = ident.Target(fmt.Sprint("invented-", i)), "any", fmt.Sprintf("10.8.%d.%d:80", i/250, i%250)
 		if f.deliverWorkerEvent(replicaName(0), host.HeartbeatReceived{Worker: w}).Accepted {
-			taken++
+			accepted++
 		}
 	}
-	require.Less(t, taken, 8500)
+	require.Less(t, accepted, 8500)
 	require.True(t, f.deliverWorkerEvent(replicaName(0), host.HeartbeatReceived{Worker: known}).Accepted)
 	require.True(t, f.deliverWorkerEvent(replicaName(0), host.DeregistrationReceived{Worker: "invented-8999"}).Accepted)
 }
--- a/core/host/hub_test.go
+++ b/core/host/hub_test.go
@@ -68,7 +68,7 @@
 			return entryName(i)
 		}
 	}
-	require.Fail(t, "no hub is asked")
+	require.Fail(t, "no hub is polled")
 	return ""
 }
 
@@ -97,8 +97,8 @@
 	require.Equal(t, entries, d.Hosts)
 	require.Equal(t, 1, d.Workers)
 	require.Equal(t, entries > 40, len(d.Hubs) > 0)
-	for _, asked := range d.Asks {
-		require.Equal(t, d.Serves || len(d.Hubs) == 0, f.disks[asked] != nil, "%s", asked)
+	for _, polled := range d.Asks {
+		require.Equal(t, d.Serves || len(d.Hubs) == 0, f.disks[polled] != nil, "%s", polled)
 	}
 	leader := f.states[f.leader()].Dump(f.now).Sync
 	require.True(t, leader.Serves)
@@ -247,7 +247,7 @@
 	for _, relay := range f.relayOf {
 		used[relay] = true
 	}
-	require.Greater(t, len(used), largeFleet/2, "replicas know the relays behind hubs")
+	require.Greater(t, len(used), largeFleet/2, "replicas must know relays that poll hubs")
 	for i := range largeFleet {
 		require.Equal(t, manyWorkers, f.readyWorkersAt(entryName(i)), "entry %d", i)
 	}
@@ -290,12 +290,12 @@
 	relay, ok := strings.CutPrefix(first.Relay, "relay at ")
 	require.True(t, first.Accepted && ok, "%#v", first)
 	require.EqualValues(t, "z1", f.zoneOf(ident.Host(relay)))
-	taken := 0
+	accepted := 0
 	for i := range 100 {
 		if answer(ident.Host(relay), fmt.Sprint("many-", i)).Accepted {
-			taken++
+			accepted++
 		}
 	}
-	require.Greater(t, taken, 10)
-	require.Less(t, taken, 30)
+	require.Greater(t, accepted, 10)
+	require.Less(t, accepted, 30)
 }
--- a/core/host/inforce_test.go
+++ b/core/host/inforce_test.go
@@ -64,10 +64,10 @@
 func (f *seededFleet) requireOldTableUnused(t *testing.T, at ident.Host, number uint64, oldKey string) {
 	t.Helper()
 	_, served := f.sendRequest(at, "/x/1", oldKey).(requests.Dispatch)
-	require.False(t, served, "%s serves a key that is gone", at)
+	require.False(t, served, "%s accepts a revoked key", at)
 	if d, ok := f.sendRequest(at, fmt.Sprintf("/only-%d/1", number), "new").(requests.Finish); ok {
 		require.NotContains(t, []requests.Code{requests.CodeNoRoute, requests.CodeBadKey}, d.Verdict.Code,
-			"%s refuses what table %d has brought", at, number)
+			"%s refuses a route or key that table %d added", at, number)
 	}
 }
 
@@ -98,7 +98,7 @@
 			}
 			id := f.submitTable(to, f.table(2, "new"))
 			took := f.runUntilAcked(t, id, 5*time.Second)
-			require.LessOrEqual(t, took, 2500*time.Millisecond, "an acknowledgement waits no longer than leases need")
+			require.LessOrEqual(t, took, 2500*time.Millisecond, "an acknowledgement takes longer than leases require")
 			f.run(inForceLimit)
 			for range 80 {
 				f.requireOldTableUnused(t, entryName(0), 2, "old")
@@ -215,7 +215,7 @@
 		for i := range entries {
 			if id := entryName(i); !f.down[id] {
 				_, served := f.sendRequest(id, "/x/1", fmt.Sprint("key-", n-1)).(requests.Dispatch)
-				require.False(t, served, "%s serves by a table before %d, %s after its acknowledgement", id, n, f.now.Sub(at))
+				require.False(t, served, "%s applies a table older than %d, %s after its acknowledgement", id, n, f.now.Sub(at))
 			}
 		}
 	}
--- a/core/host/layout.go
+++ b/core/host/layout.go
@@ -117,7 +117,7 @@
 	} else if g, ok := t.groups.Get(p.id.String()); ok {
 		t.handOverChats(g, owner)
 		t.groups = t.groups.Without(p.id.String())
-		t.log(LogGroupOwner, p.id.String(), "given to "+string(owner))
+		t.log(LogGroupOwner, p.id.String(), "handed over to "+string(owner))
 	}
 	t.reportPermits(p.id, owner)
 	t.repeatPermitRequests(p.id)
--- a/core/host/lease_test.go
+++ b/core/host/lease_test.go
@@ -57,7 +57,7 @@
 // TestNoKeyOutlivesItsLeaseBehindHubs revokes a key in a large fleet under faults and with
 // delayed messages. No host may accept the key once a lease has passed since the commit.
 func TestNoKeyOutlivesItsLeaseBehindHubs(t *testing.T) {
-	used, taken := 0, 0
+	used, committed := 0, 0
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 3))
@@ -76,7 +76,7 @@
 				t.Log("the change was not committed")
 				return
 			}
-			taken++
+			committed++
 			lease := f.now.Add(requests.DefaultKeyLease)
 			for f.now.Before(lease.Add(4 * time.Second)) {
 				f.run(400 * time.Millisecond)
@@ -85,7 +85,7 @@
 			require.True(t, f.isAcknowledged(id))
 		})
 	}
-	require.Greater(t, taken, 1, "changes are committed under these faults")
+	require.Greater(t, committed, 1, "changes are committed under these faults")
 	require.Positive(t, used, "some host is cut off for long enough to use the key after the change")
 }
 
--- a/core/host/pollreply.go
+++ b/core/host/pollreply.go
@@ -72,11 +72,11 @@
 func (t *transition) applyRegistrations(from ident.Host, m PollReply) []registry.Worker {
 	workers, err := registry.Unpack(m.Workers)
 	if err != nil {
-		t.log(LogReplicaContact, string(from), "sent registrations that cannot be read: "+err.Error())
+		t.log(LogReplicaContact, string(from), "cannot decode registrations: "+err.Error())
 	}
 	workers, err = registry.Checked(workers)
 	if err != nil {
-		t.log(LogReplicaContact, string(from), "sent a registration that cannot be used: "+err.Error())
+		t.log(LogReplicaContact, string(from), "invalid registration: "+err.Error())
 	}
 	if len(workers) == 0 {
 		return nil
@@ -137,7 +137,7 @@
 		return config.UnpackRouteTable(m.Gateway)
 	}
 	if m.Base != t.config.Version {
-		return config.RouteTable{}, errors.Errorf("a delta from version %d, held is %d", m.Base, t.config.Version)
+		return config.RouteTable{}, errors.Errorf("route table delta from version %d does not apply to held version %d", m.Base, t.config.Version)
 	}
 	d, err := config.UnpackRouteTableDelta(m.Gateway)
 	if err != nil {
--- a/core/host/registrations.go
+++ b/core/host/registrations.go
@@ -80,7 +80,7 @@
 // rejectHeartbeat counts and logs an invalid heartbeat.
 func (t *transition) rejectHeartbeat(id ident.Target, reason string) {
 	t.counters.HeartbeatsInvalid++
-	t.log(LogWorkerRegistration, fmt.Sprintf("%.80q", id), "heartbeat not taken: "+reason)
+	t.log(LogWorkerRegistration, fmt.Sprintf("%.80q", id), "heartbeat rejected: "+reason)
 }
 
 // tickRegistry scans all registrations and clients, on a replica. It expires silent workers and
--- a/core/host/relay_test.go
+++ b/core/host/relay_test.go
@@ -87,7 +87,7 @@
 // relays accept their heartbeats, across a restart of all replicas and a drain of a relay.
 func TestRelaysAcceptHeartbeatsOfManyWorkers(t *testing.T) {
 	f := newRelayedFleet(t, 4)
-	require.Len(t, f.relayOf, manyWorkers, "replicas name relays")
+	require.Len(t, f.relayOf, manyWorkers, "replicas must select relays")
 	used := map[ident.Host]int{}
 	for _, relay := range f.relayOf {
 		used[relay]++
@@ -119,7 +119,7 @@
 		f.run(time.Second)
 	}
 	for _, relay := range f.relayOf {
-		require.NotEqual(t, entryName(0), relay, "a relay that stops sends workers away")
+		require.NotEqual(t, entryName(0), relay, "a draining relay must decline heartbeats")
 	}
 	require.Equal(t, manyWorkers, f.readyWorkersAt(entryName(1)))
 }
@@ -137,20 +137,20 @@
 	require.False(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: moved}).Accepted)
 	stranger := f.worker(7, registry.Ready)
 	stranger.ID = "stranger"
-	require.True(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: stranger}).Accepted, "its first word to a replica may be under way")
+	require.True(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: stranger}).Accepted, "its first heartbeat to a replica may be in transit")
 	f.run(3 * time.Second)
 	for i := range 2 {
 		w, ok := f.states[entryName(i)].Requests().Worker("stranger")
-		require.True(t, ok && w.State == registry.Ready, "or lost: then the relay's word brings it in")
+		require.True(t, ok && w.State == registry.Ready, "if that one was lost, the relay's report must register the worker")
 	}
 
 	require.Empty(t, f.deliverWorkerEvent(replicaName(0), host.HeartbeatReceived{Worker: f.worker(7, registry.Draining)}).Relay)
 	f.run(time.Second)
-	require.False(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: f.worker(7, registry.Ready)}).Accepted, "a leaving worker is no longer known as ready")
+	require.False(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: f.worker(7, registry.Ready)}).Accepted, "a draining worker must not be accepted as unchanged")
 
 	f.partition(relay, true)
 	f.run(4 * time.Second)
-	require.False(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: f.worker(8, registry.Ready)}).Accepted, "a relay that no replica answers")
+	require.False(t, f.deliverWorkerEvent(relay, host.HeartbeatReceived{Worker: f.worker(8, registry.Ready)}).Accepted, "a relay without contact to replicas must decline")
 }
 
 // TestSmallFleetsHaveNoRelays guards against relays being selected in a small fleet.
@@ -223,10 +223,10 @@
 		}
 		f.run(1200 * time.Millisecond)
 	}
-	require.Greater(t, len(sentBack), 3, "a relay that hears nobody must not keep workers for good")
+	require.Greater(t, len(sentBack), 3, "a relay without contact to replicas must not keep workers forever")
 	for i := 1; i < len(sentBack); i++ {
 		between := sentBack[i].Sub(sentBack[i-1])
-		require.GreaterOrEqual(t, between, 3*time.Second, "most heartbeats stay away from replicas")
-		require.Less(t, between, 6*time.Second, "a worker that is not heard for so long is silent")
+		require.GreaterOrEqual(t, between, 3*time.Second, "most heartbeats must not go to replicas")
+		require.Less(t, between, 6*time.Second, "a worker without heartbeats for so long would be silent")
 	}
 }
--- a/core/host/replaced.go
+++ b/core/host/replaced.go
@@ -51,7 +51,7 @@
 		next, changed := t.registry.WithReplaced(r.Worker, r.Born, seenAt)
 		t.registry = next
 		if changed {
-			t.log(LogWorkerRegistration, string(r.Worker), fmt.Sprintf("state=silent born=%s, as another process answers there, by %s", r.Born, from))
+			t.log(LogWorkerRegistration, string(r.Worker), fmt.Sprintf("state=silent born=%s replaced by another process, reported by %s", r.Born, from))
 		}
 	}
 }
--- a/core/host/seeded.go
+++ b/core/host/seeded.go
@@ -132,7 +132,7 @@
 			t.log(LogWorkerRegistration, string(d.Worker.ID), fmt.Sprintf("usable=%t state=%s seq=%d born=%s at=%s failures=%d why=%q",
 				d.Healthy, d.Worker.State, d.Worker.Seq, d.Worker.Born, d.Worker.Address, d.Failures, d.Reason))
 		case requests.WorkerCrashed:
-			t.log(LogWorkerRegistration, string(d.Worker), fmt.Sprintf("ended under %d requests of this host", d.Requests))
+			t.log(LogWorkerRegistration, string(d.Worker), fmt.Sprintf("crashed during %d requests of this host", d.Requests))
 		case requests.ZoneChanged:
 			t.log(LogZoneContact, string(d.Zone), fmt.Sprintf("reached=%t others=%t missed=%s", d.Reachable, d.AllOthers, d.LastFailed))
 		default:
--- a/core/host/seeded_test.go
+++ b/core/host/seeded_test.go
@@ -426,7 +426,7 @@
 	f.addReplica(a, false)
 	f.partition(c, false)
 	f.run(20 * time.Second)
-	require.Empty(t, f.leader(), "a wiped replica helped to elect one that is behind")
+	require.Empty(t, f.leader(), "a wiped replica helped to elect one that lacks the table")
 	f.start(b)
 	f.run(10 * time.Second)
 	require.NotEmpty(t, f.leader())
@@ -463,7 +463,7 @@
 	}
 	f.stop(second)
 	f.run(5 * time.Second)
-	require.NotEmpty(t, f.leader(), "the newcomer does not vote")
+	require.NotEmpty(t, f.leader(), "the new replica does not vote")
 	require.True(t, f.putTable(replicaName(7), f.table(6, "k"), 2*time.Second))
 	f.run(time.Second)
 	require.EqualValues(t, 6, f.states[entryName(0)].Requests().TableNumber())
--- a/core/host/suspended_test.go
+++ b/core/host/suspended_test.go
@@ -21,7 +21,7 @@
 	leader := f.leader()
 	day := f.now
 	f.now = f.now.Add(time.Hour)
-	require.False(t, f.states[leader].Raft().LeaseHeld(f.now), "it stood still for an hour")
+	require.False(t, f.states[leader].Raft().LeaseHeld(f.now), "it was suspended for an hour")
 	for _, id := range f.order {
 		f.reduce(id, host.Suspended{Total: time.Hour})
 	}
--- a/core/host/table_test.go
+++ b/core/host/table_test.go
@@ -95,11 +95,11 @@
 	before := f.states[f.leader()].Raft().Log().Last()
 	for _, at := range []ident.Host{f.leader(), f.anyFollower()} {
 		for _, number := range []uint64{3, 7} {
-			require.True(t, f.putTable(at, largeTable(t, number, 300), 2*seededStep), "a word with the leader is enough")
+			require.True(t, f.putTable(at, largeTable(t, number, 300), 2*seededStep), "the leader must answer without logging it")
 		}
 		invalid := largeTable(t, 3, 300)
 		invalid.Routes[0].Timeout = 0
-		require.False(t, f.putTable(at, invalid, 2*time.Second), "what is invalid is refused, whatever its number")
+		require.False(t, f.putTable(at, invalid, 2*time.Second), "an invalid table must be rejected whatever its number")
 	}
 	require.Equal(t, string(largeTable(t, 7, 400).Source), string(f.states[f.leader()].Config().Gateway.Source))
 	log := f.states[f.leader()].Raft().Log()
@@ -133,7 +133,7 @@
 	for i := before + 1; i <= log.Last(); i++ {
 		bytes += len(log.At(i).Data)
 	}
-	require.Less(t, bytes, 200_000, "a whole table has 20,000")
+	require.Less(t, bytes, 200_000, "a whole table has 20,000 bytes")
 }
 
 // anyFollower returns a replica that is not the leader.
--- a/core/host/write.go
+++ b/core/host/write.go
@@ -154,7 +154,7 @@
 	}
 	w, err := catalog.DecodeWrite(m.Packed)
 	if err != nil {
-		t.log(LogStateRestored, m.ID, "a forwarded write cannot be read: "+err.Error())
+		t.log(LogStateRestored, m.ID, "cannot decode forwarded write: "+err.Error())
 		return
 	}
 	t.writeOrigins = t.writeOrigins.With(w.ID, from)
