--- a/core/host/heartbeat_test.go
+++ b/core/host/heartbeat_test.go
@@ -67,7 +67,7 @@
 	f.reduce(replicaName(0), host.MessageReceived{From: entryName(0), Message: host.Poll{
 		Round: 1, Serves: true, Boot: 1 << 40, Beats: registry.Pack([]registry.Worker{bad, good, unreadable}),
 	}})
-	require.Equal(t, 1, f.states[replicaName(0)].Registry().Len(), "only the valid heartbeat registers")
+	require.Equal(t, 1, f.states[replicaName(0)].Registry().Len(), "the others hold")
 	f.reduce(entryName(0), host.MessageReceived{From: replicaName(0), Message: host.PollReply{
 		Epoch: 5, Revision: 3, Workers: registry.Pack([]registry.Worker{unreadable, good}),
 	}})
--- a/core/host/table_test.go
+++ b/core/host/table_test.go
@@ -133,7 +133,7 @@
 	for i := before + 1; i <= log.Last(); i++ {
 		bytes += len(log.At(i).Data)
 	}
-	require.Less(t, bytes, 200_000, "a whole table has 20,000 bytes")
+	require.Less(t, bytes, 200_000, "20,000 bytes are one whole table")
 }
 
 // anyFollower returns a replica that is not the leader.
--- a/core/host/times.go
+++ b/core/host/times.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// seededElectionTimeout and seededHeartbeat are the Raft election timeout and heartbeat interval
-	// of a seeded fleet. They are shorter than the defaults because entry hosts get no
-	// confirmations, and refuse requests with a key, while an election lasts.
+	// seededElectionTimeout and seededHeartbeatInterval are the Raft timing of a seeded fleet.
+	// They are shorter than the defaults because entry hosts get no confirmations, and refuse
+	// requests with a key, while an election lasts.
 	seededElectionTimeout   = 900 * time.Millisecond
 	seededHeartbeatInterval = 200 * time.Millisecond
 	// maxMissedHeartbeats is how many heartbeats a worker may miss before it counts as silent.
