--- a/core/host/inforce.go
+++ b/core/host/inforce.go
@@ -31,7 +31,7 @@
 // version held here.
 func (t *transition) recordLease(from ident.Host, m Poll) {
 	t.seeded.inForce = t.seeded.inForce.WithGrant(inforce.Grant{
-		From: from, Boot: m.Boot, OldestInForce: m.InForce, SentVersion: t.currentConfig().Version,
+		From: from, Incarnation: m.Boot, OldestInForce: m.InForce, SentVersion: t.currentConfig().Version,
 	}, t.now)
 }
 
--- a/core/host/zones.go
+++ b/core/host/zones.go
@@ -146,7 +146,7 @@
 // reply confirms the current ones.
 func (t *transition) grantZonesLease(from ident.Host, m Poll) {
 	t.seeded.zonesInForce = t.seeded.zonesInForce.WithGrant(inforce.Grant{
-		From: from, Boot: m.Boot, OldestInForce: m.ZonesInForce, SentVersion: zonesVersion(t.currentZones().Revision),
+		From: from, Incarnation: m.Boot, OldestInForce: m.ZonesInForce, SentVersion: zonesVersion(t.currentZones().Revision),
 	}, t.now)
 }
 
--- a/core/requests/crashes.go
+++ b/core/requests/crashes.go
@@ -73,7 +73,7 @@
 		return
 	}
 	probeRequested := t.crashObserver.ProbeRequested(c.target, c.incarnation, t.now)
-	t.crashObserver = t.crashObserver.WithSuspect(crashes.Suspect{Content: c.content, Boot: c.incarnation, Crash: crashes.Crash{
+	t.crashObserver = t.crashObserver.WithSuspect(crashes.Suspect{Content: c.content, Incarnation: c.incarnation, Crash: crashes.Crash{
 		Attempt: fmt.Sprintf("%s/%d", c.req.ID, c.attempt), Worker: c.target, SentAt: c.sentAt, EndedAt: t.now, AnswerStarted: r.AnswerStarted,
 	}}, t.now)
 	switch {
