--- a/core/host/crashes.go
+++ b/core/host/crashes.go
@@ -161,7 +161,7 @@
 }
 
 // evaluateCrashes merges the verdicts of the evidence into the crash list. A request with enough
-// crashes is only suspected for crashes.AnswersWithin, so that hosts can report that it was
+// crashes is only suspected for crashes.AnswerReportWindow, so that hosts can report that it was
 // answered in the meantime.
 func (t *transition) evaluateCrashes(from ident.Host) {
 	suspects := t.crashes.evidence.Evaluate(t.now)
--- a/core/hubs/hubs_test.go
+++ b/core/hubs/hubs_test.go
@@ -25,48 +25,48 @@
 }
 
 func TestHubsAreSelectedWithHysteresis(t *testing.T) {
-	n := hubs.Selection{}.Updated(fleet(40), 40, start)
-	require.Zero(t, n.Len())
-	n = n.Updated(fleet(48), 40, start.Add(time.Second))
-	require.Equal(t, 6, n.Len(), "two in each zone")
+	s := hubs.Selection{}.Updated(fleet(40), 40, start)
+	require.Zero(t, s.Len())
+	s = s.Updated(fleet(48), 40, start.Add(time.Second))
+	require.Equal(t, 6, s.Len(), "two in each zone")
 	later := start.Add(time.Minute)
-	n = n.Updated(fleet(36), 40, later).Updated(fleet(36), 40, later.Add(hubs.SettleTime))
-	require.Equal(t, 6, n.Len(), "above 75% of the threshold hubs are kept")
-	n = n.Updated(fleet(30), 40, later.Add(time.Minute)).Updated(fleet(30), 40, later.Add(2*time.Minute))
-	require.Zero(t, n.Len())
+	s = s.Updated(fleet(36), 40, later).Updated(fleet(36), 40, later.Add(hubs.SettleTime))
+	require.Equal(t, 6, s.Len(), "above 75% of the threshold hubs are kept")
+	s = s.Updated(fleet(30), 40, later.Add(time.Minute)).Updated(fleet(30), 40, later.Add(2*time.Minute))
+	require.Zero(t, s.Len())
 }
 
 func TestNewListMustSettle(t *testing.T) {
-	n := hubs.Selection{}.Updated(fleet(90), 40, start)
-	first := n.Key
-	n = n.Updated(fleet(45), 40, start.Add(time.Second))
-	require.Equal(t, first, n.Key)
-	n = n.Updated(fleet(90), 40, start.Add(2*time.Second))
-	n = n.Updated(fleet(45), 40, start.Add(3*time.Second))
-	n = n.Updated(fleet(45), 40, start.Add(3*time.Second+hubs.SettleTime-1))
-	require.Equal(t, first, n.Key, "the list changed in between")
-	n = n.Updated(fleet(45), 40, start.Add(3*time.Second+hubs.SettleTime))
-	require.NotEqual(t, first, n.Key)
+	s := hubs.Selection{}.Updated(fleet(90), 40, start)
+	first := s.Key
+	s = s.Updated(fleet(45), 40, start.Add(time.Second))
+	require.Equal(t, first, s.Key)
+	s = s.Updated(fleet(90), 40, start.Add(2*time.Second))
+	s = s.Updated(fleet(45), 40, start.Add(3*time.Second))
+	s = s.Updated(fleet(45), 40, start.Add(3*time.Second+hubs.SettleTime-1))
+	require.Equal(t, first, s.Key, "the list changed in between")
+	s = s.Updated(fleet(45), 40, start.Add(3*time.Second+hubs.SettleTime))
+	require.NotEqual(t, first, s.Key)
 }
 
 func TestSilentHubIsAvoided(t *testing.T) {
 	list := hubs.Selection{}.Updated(fleet(48), 40, start).Hosts
 	self := hubs.Self{ID: "h001", Zone: "z1"}
 	replies := map[ident.Host]time.Time{}
-	last := func(h ident.Host) time.Time { return replies[h] }
-	c := hubs.PollSet{}.Updated(list, self, last, time.Second, start)
-	before := c.Polled()
+	lastReply := func(h ident.Host) time.Time { return replies[h] }
+	p := hubs.PollSet{}.Updated(list, self, lastReply, time.Second, start)
+	before := p.Polled()
 	require.Len(t, before, hubs.MaxPolled)
 	replies[before[0]] = start.Add(2 * time.Second)
-	c = c.Updated(list, self, last, time.Second, start.Add(2*time.Second))
-	require.True(t, c.Has(before[0]))
-	require.False(t, c.Has(before[1]))
-	require.Len(t, c.Polled(), hubs.MaxPolled, "the silent hub is replaced")
-	require.Empty(t, c.Cleared().Polled())
+	p = p.Updated(list, self, lastReply, time.Second, start.Add(2*time.Second))
+	require.True(t, p.Has(before[0]))
+	require.False(t, p.Has(before[1]))
+	require.Len(t, p.Polled(), hubs.MaxPolled, "the silent hub is replaced")
+	require.Empty(t, p.Cleared().Polled())
 }
 
 func TestHubsFailWithoutAUsefulReply(t *testing.T) {
-	c := hubs.PollSet{}.WithUsefulReply(start)
-	require.False(t, c.Failed(start.Add(hubs.FailureTimeout)))
-	require.True(t, c.Failed(start.Add(hubs.FailureTimeout+1)))
+	p := hubs.PollSet{}.WithUsefulReply(start)
+	require.False(t, p.Failed(start.Add(hubs.FailureTimeout)))
+	require.True(t, p.Failed(start.Add(hubs.FailureTimeout+1)))
 }
--- a/core/inforce/inforce_test.go
+++ b/core/inforce/inforce_test.go
@@ -13,9 +13,9 @@
 )
 
 var (
-	start    = time.Unix(1000, 0)
-	settings = inforce.Settings{KeyLease: 4 * time.Second, InForceWithin: 2 * time.Second, WarmUp: time.Second}
-	view     = inforce.HostInfo{Self: "leader", Started: start.Add(-time.Hour), LeaderSince: start.Add(-time.Hour)}
+	start      = time.Unix(1000, 0)
+	settings   = inforce.Settings{KeyLease: 4 * time.Second, InForceWithin: 2 * time.Second, WarmUp: time.Second}
+	leaderInfo = inforce.HostInfo{Self: "leader", Started: start.Add(-time.Hour), LeaderSince: start.Add(-time.Hour)}
 )
 
 // granted records a poll of a host that has one version in force and is sent another.
@@ -26,10 +26,10 @@
 func TestWriteWaitsForHostWithOlderTable(t *testing.T) {
 	s := granted(inforce.State{}, 1, 1, start)
 	s = s.WithCommit(start).WithPendingWrite(inforce.PendingWrite{ID: "w", Version: 2}, start)
-	s, released := s.ReleaseWrites(settings, view, start)
+	s, released := s.ReleaseWrites(settings, leaderInfo, start)
 	require.Empty(t, released)
 	s = granted(s, 2, 2, start.Add(300*time.Millisecond))
-	s, released = s.ReleaseWrites(settings, view, start.Add(300*time.Millisecond))
+	s, released = s.ReleaseWrites(settings, leaderInfo, start.Add(300*time.Millisecond))
 	require.Len(t, released, 1)
 	require.EqualValues(t, "entry", released[0].BlockedBy)
 	require.Equal(t, 300*time.Millisecond, released[0].Delay)
@@ -39,10 +39,10 @@
 func TestSilentHostDelaysWriteByAtMostMaxAckDelay(t *testing.T) {
 	s := granted(inforce.State{}, 1, 1, start)
 	s = s.WithCommit(start)
-	ok, waitsFor := s.WillBeInForce(2, settings, view, start.Add(settings.MaxAckDelay()-1))
+	ok, blockedBy := s.WillBeInForce(2, settings, leaderInfo, start.Add(settings.MaxAckDelay()-1))
 	require.False(t, ok)
-	require.EqualValues(t, "entry", waitsFor)
-	ok, _ = s.WillBeInForce(2, settings, view, start.Add(settings.MaxAckDelay()))
+	require.EqualValues(t, "entry", blockedBy)
+	ok, _ = s.WillBeInForce(2, settings, leaderInfo, start.Add(settings.MaxAckDelay()))
 	require.True(t, ok)
 	require.GreaterOrEqual(t, settings.MaxAckDelay()+settings.InForceWithin, settings.KeyLease, "its lease ends before the table must be in force")
 }
@@ -50,7 +50,7 @@
 func TestNewProcessHoldsNoLease(t *testing.T) {
 	s := granted(inforce.State{}, 1, 1, start).WithCommit(start)
 	s = s.WithGrant(inforce.Grant{From: "entry", Incarnation: 2, OldestInForce: 0, SentVersion: 2}, start)
-	ok, _ := s.WillBeInForce(2, settings, view, start)
+	ok, _ := s.WillBeInForce(2, settings, leaderInfo, start)
 	require.True(t, ok, "the new process was never sent an older table")
 }
 
@@ -67,9 +67,9 @@
 
 func TestStartingReplicaWaitsForWarmUp(t *testing.T) {
 	started := inforce.HostInfo{Self: "leader", Started: start, LeaderSince: start}
-	ok, waitsFor := inforce.State{}.WillBeInForce(2, settings, started, start)
+	ok, blockedBy := inforce.State{}.WillBeInForce(2, settings, started, start)
 	require.False(t, ok)
-	require.EqualValues(t, "leader", waitsFor)
+	require.EqualValues(t, "leader", blockedBy)
 	ok, _ = inforce.State{}.WillBeInForce(2, settings, started, start.Add(settings.WarmUp))
 	require.True(t, ok)
 }
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -47,17 +47,17 @@
 }
 
 func TestRelayWithoutReplicaRedirectsEachWorkerOnce(t *testing.T) {
-	lost := relay.ReplicaContact{Ever: true}
-	s, kept := relay.State{}.Accept("w", lost, start)
-	require.False(t, kept)
-	s, kept = s.Accept("w", lost, start.Add(time.Second))
-	require.True(t, kept, "it returned from a replica")
-	s, kept = s.Accept("w", lost, start.Add(time.Second+relay.ReplicaTimeout))
-	require.False(t, kept)
-	_, kept = s.Accept("w", relay.ReplicaContact{Recent: true, Ever: true}, start)
-	require.True(t, kept)
-	_, kept = relay.State{}.Accept("w", relay.ReplicaContact{}, start)
-	require.True(t, kept, "a relay that has just started accepts redirected workers")
+	noReply := relay.ReplicaContact{Ever: true}
+	s, accepted := relay.State{}.Accept("w", noReply, start)
+	require.False(t, accepted)
+	s, accepted = s.Accept("w", noReply, start.Add(time.Second))
+	require.True(t, accepted, "it returned from a replica")
+	s, accepted = s.Accept("w", noReply, start.Add(time.Second+relay.ReplicaTimeout))
+	require.False(t, accepted)
+	_, accepted = s.Accept("w", relay.ReplicaContact{Recent: true, Ever: true}, start)
+	require.True(t, accepted)
+	_, accepted = relay.State{}.Accept("w", relay.ReplicaContact{}, start)
+	require.True(t, accepted, "a relay that has just started accepts redirected workers")
 }
 
 func TestHeartbeatsAreReportedTogether(t *testing.T) {
