--- a/callers/serve.go
+++ b/callers/serve.go
@@ -101,7 +101,7 @@
 				a.deps.Core.ReportAttempt(host.AttemptEnded{Request: r.ID, Attempt: e.Attempt, Result: lastResult})
 			case host.Finish:
 				if s.cacheable && s.headerSent && e.Verdict.Outcome == outcome.Ran {
-					a.deps.Responses.Add(r.ID, s.recorded)
+					a.deps.Responses.Add(r.ID, s.copy)
 				}
 				a.observe(e.Verdict, lastResult, s, startedAt)
 				return s.finish(e.Verdict)
--- a/callers/sink.go
+++ b/callers/sink.go
@@ -27,9 +27,9 @@
 	startedAt       time.Time
 	timeToFirstByte time.Duration
 	// cacheable is set while the response is to be cached. It is cleared once the body exceeds
-	// maxCachedBody.
+	// maxCachedBody. copy holds the response recorded so far.
 	cacheable bool
-	recorded  host.Answer
+	copy      host.Answer
 }
 
 // Begin implements targets.Sink.
@@ -48,7 +48,7 @@
 	}
 	s.timeToFirstByte = s.api.deps.Now().Sub(s.startedAt)
 	s.headerSent = true
-	s.recorded = host.Answer{Status: status, ContentType: h.Get("Content-Type")}
+	s.copy = host.Answer{Status: status, ContentType: h.Get("Content-Type")}
 	s.w.WriteHeader(status)
 	return nil
 }
@@ -69,10 +69,10 @@
 	return nil
 }
 
-// record appends p to the response that is recorded for the cache.
+// record appends p to the copy, or stops recording once the body exceeds maxCachedBody.
 func (s *sink) record(p []byte) {
-	if s.cacheable = s.cacheable && len(s.recorded.Body)+len(p) <= maxCachedBody; s.cacheable {
-		s.recorded.Body = append(s.recorded.Body, p...)
+	if s.cacheable = s.cacheable && len(s.copy.Body)+len(p) <= maxCachedBody; s.cacheable {
+		s.copy.Body = append(s.copy.Body, p...)
 	}
 }
 
