--- a/core/host/clients.go
+++ b/core/host/clients.go
@@ -65,8 +65,8 @@
 
 // handlePoll processes the reports in a host's poll and replies to it.
 func (t *transition) handlePoll(from ident.Host, m Poll) {
-	if m.Neighbour && t.settings.Serves && !t.seeded.hub.serves {
-		t.becomeHub()
+	if m.Neighbour && t.settings.Serves && !t.seeded.hub.replyingToPolls {
+		t.startReplyingToPolls()
 	}
 	if !t.repliesToPolls() || t.isFromEarlierProcess(from, m) {
 		return
--- a/core/host/fallback_test.go
+++ b/core/host/fallback_test.go
@@ -16,10 +16,10 @@
 )
 
 // partitionFromReplicas blocks or unblocks the links between an entry host and all replicas.
-func (f *seededFleet) partitionFromReplicas(id ident.Host, off bool) {
+func (f *seededFleet) partitionFromReplicas(id ident.Host, blocked bool) {
 	for replica := range f.disks {
-		f.blocked[[2]ident.Host{id, replica}] = off
-		f.blocked[[2]ident.Host{replica, id}] = off
+		f.blocked[[2]ident.Host{id, replica}] = blocked
+		f.blocked[[2]ident.Host{replica, id}] = blocked
 	}
 }
 
--- a/core/host/hub_test.go
+++ b/core/host/hub_test.go
@@ -46,11 +46,11 @@
 	return direct, hubs
 }
 
-func (f *seededFleet) requireServing(t *testing.T, entries int, number uint64, but ...ident.Host) {
+func (f *seededFleet) requireServing(t *testing.T, entries int, number uint64, excluded ...ident.Host) {
 	t.Helper()
 	for i := range entries {
 		id := entryName(i)
-		if f.down[id] || len(but) > 0 && but[0] == id {
+		if f.down[id] || len(excluded) > 0 && excluded[0] == id {
 			continue
 		}
 		require.EqualValues(t, number, f.states[id].Requests().TableNumber(), "entry %d", i)
--- a/core/host/inforce_test.go
+++ b/core/host/inforce_test.go
@@ -59,8 +59,8 @@
 	return f.now.Sub(begun)
 }
 
-// requireOldTableUnused requires that an entry host refuses a key that table number removed,
-// and accepts a route and key that it added.
+// requireOldTableUnused requires that an entry host refuses oldKey, which table number removed,
+// and knows the route and key that the table added.
 func (f *seededFleet) requireOldTableUnused(t *testing.T, at ident.Host, number uint64, oldKey string) {
 	t.Helper()
 	_, served := f.sendRequest(at, "/x/1", oldKey).(requests.Dispatch)
--- a/core/host/seeded_test.go
+++ b/core/host/seeded_test.go
@@ -159,10 +159,10 @@
 
 func (f *seededFleet) stop(id ident.Host) { f.down[id] = true }
 
-func (f *seededFleet) partition(id ident.Host, off bool) {
+func (f *seededFleet) partition(id ident.Host, blocked bool) {
 	for _, other := range f.order {
-		f.blocked[[2]ident.Host{id, other}] = off
-		f.blocked[[2]ident.Host{other, id}] = off
+		f.blocked[[2]ident.Host{id, other}] = blocked
+		f.blocked[[2]ident.Host{other, id}] = blocked
 	}
 }
 
