--- a/core/host/clients.go
+++ b/core/host/clients.go
@@ -65,7 +65,7 @@
 
 // handlePoll processes the reports in a host's poll and replies to it.
 func (t *transition) handlePoll(from ident.Host, m Poll) {
-	if m.Neighbour && t.settings.Serves && !t.seeded.hub.replyingToPolls {
+	if m.Neighbour && t.settings.Serves && !t.seeded.hub.replies {
 		t.startReplyingToPolls()
 	}
 	if !t.repliesToPolls() || t.isFromEarlierProcess(from, m) {
--- a/core/host/hub.go
+++ b/core/host/hub.go
@@ -36,9 +36,9 @@
 	// next while no hub gives a useful reply.
 	pollSet        hubs.PollSet
 	pollReplicasAt time.Time
-	// replyingToPolls is set once this host has been listed as a hub or polled as a fallback
+	// replies is set once this host has been listed as a hub or polled as a fallback
 	// peer, and stays set. From then on it keeps registrations and replies to polls.
-	replyingToPolls bool
+	replies bool
 	// outsideLoads are the requests of the hosts that this hub does not count, as of
 	// outsideLoadsAt.
 	outsideLoads   loads.Digest
@@ -52,7 +52,7 @@
 
 // isHub reports whether this host polls replicas on behalf of others.
 func (t *transition) isHub() bool {
-	return t.seeded.hub.list.Has(t.settings.ID) || t.seeded.hub.replyingToPolls && t.isPrimaryOfAny()
+	return t.seeded.hub.list.Has(t.settings.ID) || t.seeded.hub.replies && t.isPrimaryOfAny()
 }
 
 // isPrimaryOfAny reports whether this host is the primary hub of any live client.
@@ -71,9 +71,7 @@
 }
 
 // repliesToPolls reports whether this host replies to polls of other hosts.
-func (t *transition) repliesToPolls() bool {
-	return t.settings.IsReplica() || t.seeded.hub.replyingToPolls
-}
+func (t *transition) repliesToPolls() bool { return t.settings.IsReplica() || t.seeded.hub.replies }
 
 // primaryHub returns the hub that counts this host, or "" if replicas do.
 func (t *transition) primaryHub() ident.Host {
@@ -120,7 +118,7 @@
 // startReplyingToPolls prepares this host to reply to polls: it registers the known workers
 // under revisions of its own and records the current table as a base for deltas.
 func (t *transition) startReplyingToPolls() {
-	t.seeded.hub.replyingToPolls = true
+	t.seeded.hub.replies = true
 	for w := range t.requests.Workers() {
 		t.registry = t.registry.WithReport(w, t.now)
 	}
@@ -157,7 +155,7 @@
 // applyReportedLoads stores the reported requests of other hosts. A hub keeps them for its
 // group and adds the group's own before it uses them.
 func (t *transition) applyReportedLoads(reported loads.Digest, asOf time.Time) {
-	if t.seeded.hub.replyingToPolls {
+	if t.seeded.hub.replies {
 		t.seeded.hub.outsideLoads, t.seeded.hub.outsideLoadsAt = reported, asOf
 		reported = t.sumLoads().excluding(t.settings.ID, reported)
 	}
@@ -186,7 +184,7 @@
 // storeRegistrations adds workers that replicas reported to the registry that this hub serves
 // to its clients.
 func (t *transition) storeRegistrations(workers []registry.Worker) {
-	if !t.seeded.hub.replyingToPolls {
+	if !t.seeded.hub.replies {
 		return
 	}
 	for _, w := range workers {
@@ -196,7 +194,7 @@
 
 // tickHub sends changes to the clients of this hub and expires old state.
 func (t *transition) tickHub() {
-	if !t.seeded.hub.replyingToPolls {
+	if !t.seeded.hub.replies {
 		return
 	}
 	t.pushUpdates()
--- a/core/host/hublist.go
+++ b/core/host/hublist.go
@@ -70,7 +70,7 @@
 		h.pollSet = h.pollSet.WithUsefulReply(t.now)
 	}
 	h.list.List = hubs.List{Hosts: m.Hubs, Key: m.HubList}
-	if h.list.Has(t.settings.ID) && !h.replyingToPolls {
+	if h.list.Has(t.settings.ID) && !h.replies {
 		t.startReplyingToPolls()
 	}
 }
--- a/core/host/polling.go
+++ b/core/host/polling.go
@@ -176,7 +176,7 @@
 // relayAddress returns where this host accepts workers' heartbeats, or "" if it does not. Hubs
 // do not, to limit their load.
 func (t *transition) relayAddress() string {
-	if !t.settings.Serves || t.draining || t.seeded.hub.replyingToPolls {
+	if !t.settings.Serves || t.draining || t.seeded.hub.replies {
 		return ""
 	}
 	return t.settings.RelayAddress
--- a/core/host/relay.go
+++ b/core/host/relay.go
@@ -77,7 +77,7 @@
 // the replicas.
 func (t *transition) acceptForRelay(w registry.Worker) bool {
 	known, isKnown := t.requests.Worker(w.ID)
-	if !relay.CanAcknowledge(w, known, isKnown) || t.draining || t.seeded.hub.replyingToPolls {
+	if !relay.CanAcknowledge(w, known, isKnown) || t.draining || t.seeded.hub.replies {
 		return false
 	}
 	if !t.seeded.relay.HasCapacity(w.ID, t.requests.WorkerCount(), t.seeded.hosts) {
@@ -115,7 +115,7 @@
 // by receiver. Each worker is reported to the replica that registered it, so that no two
 // replicas report the same worker, or to the default receiver if that replica is silent.
 func (t *transition) dequeueHeartbeats(polled []ident.Host) map[ident.Host][]registry.Worker {
-	if !t.seeded.relay.ReportDue(t.seeded.hub.replyingToPolls, t.now) {
+	if !t.seeded.relay.ReportDue(t.seeded.hub.replies, t.now) {
 		return nil
 	}
 	next, workers := t.seeded.relay.TakeReport(t.now)
--- a/core/host/view.go
+++ b/core/host/view.go
@@ -245,7 +245,7 @@
 
 func (s State) dumpSync(now time.Time) *DumpSync {
 	d := &DumpSync{
-		Hosts: s.seeded.hosts, Asks: s.seeded.hub.lastPolled, Serves: s.settings.IsReplica() || s.seeded.hub.replyingToPolls,
+		Hosts: s.seeded.hosts, Asks: s.seeded.hub.lastPolled, Serves: s.settings.IsReplica() || s.seeded.hub.replies,
 		Askers: s.seeded.clients.Len(), ConfirmedAt: s.requests.Confirmation().AsOf, Workers: s.requests.WorkerCount(),
 		Drained: s.currentZones().DrainedZones(), ZonesRevision: s.currentZones().Revision,
 	}
