--- a/core/requests/admit_test.go
+++ b/core/requests/admit_test.go
@@ -22,16 +22,16 @@
 	require.Equal(t, requests.CodeNoRoute, d.(requests.Finish).Verdict.Code)
 }
 
-func TestAccountOfTheKeyAndItsRankReachTheWorker(t *testing.T) {
+func TestDispatchCarriesAccountAndRankOfTheKey(t *testing.T) {
 	_, d := arrive(t, ready(2), request("1", "/resumable/x"), start)
 	require.EqualValues(t, "halls", d.(requests.Dispatch).Account)
 	require.Equal(t, 4, d.(requests.Dispatch).Rank)
 }
 
-// TestNothingIsRefusedForGoodOnStaleKnowledge lets the confirmation grow old:
-// what would be 401 or 404 becomes a refusal for the moment, and so does a
-// request with a key; a public route goes on.
-func TestNothingIsRefusedForGoodOnStaleKnowledge(t *testing.T) {
+// TestStaleTableRefusesNothingPermanently guards against final refusals by an outdated table:
+// without a valid lease, unknown routes and keys are refused as stale, and public routes still
+// work.
+func TestStaleTableRefusesNothingPermanently(t *testing.T) {
 	s, later := ready(2), start.Add(requests.DefaultKeyLease)
 	bad := request("2", "/safe/x")
 	bad.KeyHash = "other"
@@ -58,22 +58,22 @@
 	require.Equal(t, start.Add(time.Millisecond), d.(requests.Dispatch).Deadline)
 }
 
-func TestClosingHostPromisesNotRun(t *testing.T) {
+func TestClosingHostRefusesAsNotRun(t *testing.T) {
 	s, _ := requests.Reduce(ready(1), requests.Closing{}, start)
 	_, d := arrive(t, s, request("1", "/unsafe/x"), start)
 	require.Equal(t, requests.CodeDraining, d.(requests.Finish).Verdict.Code)
 	require.Equal(t, outcome.NotRun, d.(requests.Finish).Verdict.Outcome)
 }
 
-func TestSecondRequestUnderAnIDInUsePromisesNothing(t *testing.T) {
+func TestDuplicateRequestIDEndsAsUnknown(t *testing.T) {
 	s, _ := arrive(t, ready(1), request("1", "/unsafe/x"), start)
 	_, d := arrive(t, s, request("1", "/unsafe/x"), start)
 	require.Equal(t, outcome.Unknown, d.(requests.Finish).Verdict.Outcome)
 	require.False(t, s.Idle())
 }
 
-// TestOlderTableNeverComesBack puts tables in force in any order.
-func TestOlderTableNeverComesBack(t *testing.T) {
+// TestOlderRouteTableIsIgnored guards against going back to an older route table.
+func TestOlderRouteTableIsIgnored(t *testing.T) {
 	s := requests.New(requests.Settings{})
 	for _, number := range []uint64{3, 1, 7, 2} {
 		g := table()
--- a/core/requests/attempt_test.go
+++ b/core/requests/attempt_test.go
@@ -13,11 +13,10 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// TestOutcomesAreProved draws how tries end, for each kind of route, and checks
-// what the users need to hold: what must not run twice is sent nowhere after it
-// may have run; not-run is said only where no try may have run; no more workers
-// are sent to than the route allows; each event yields one decision.
-func TestOutcomesAreProved(t *testing.T) {
+// TestOutcomesFollowFromAttempts ends attempts in random ways and guards against requests that
+// run twice, false promises of not-run, more workers than the route allows, and events with
+// several decisions.
+func TestOutcomesFollowFromAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		path := rapid.SampledFrom([]string{"/safe/x", "/unsafe/x", "/once/x", "/resumable/x"}).Draw(t, "path")
 		s, now := ready(rapid.IntRange(1, 6).Draw(t, "workers")), start
@@ -28,7 +27,7 @@
 			if !ok {
 				break
 			}
-			require.False(t, mayHaveRun && !dispatch.Route.Repeatable(), "sent again after it may have run")
+			require.False(t, mayHaveRun && !dispatch.Route.Repeatable(), "a request that must run at most once was sent again")
 			require.Less(t, reached, dispatch.Route.MaxAttempts)
 			result := rapid.SampledFrom([]outcome.Attempt{
 				outcome.Answered{Status: 200},
@@ -58,7 +57,7 @@
 			require.NotEqual(t, outcome.NotRun, verdict.Outcome)
 		} else {
 			require.Equal(t, outcome.NotRun, verdict.Outcome)
-			require.Positive(t, verdict.RetryAfter, "a request that has not run is told when to come back")
+			require.Positive(t, verdict.RetryAfter, "a request that has not run must have a Retry-After")
 		}
 		require.True(t, s.Idle())
 	})
--- a/core/requests/bench_test.go
+++ b/core/requests/bench_test.go
@@ -15,8 +15,7 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// BenchmarkRequest is one request of the route table, from its arrival to its
-// end, before pools of several sizes.
+// BenchmarkRequest measures one request from arrival to end, for pools of several sizes.
 func BenchmarkRequest(b *testing.B) {
 	for _, size := range []int{9, 144, 910} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/core/requests/builder_test.go
+++ b/core/requests/builder_test.go
@@ -17,8 +17,7 @@
 
 var start = time.Unix(9000, 0)
 
-// table has one route of each kind, to a pool of plain workers and one of
-// engines.
+// table has one route of each kind, to a pool of plain workers or of engines.
 func table() config.RouteTable {
 	second := config.Duration(time.Second)
 	to := func(pool ident.Service) []config.Share { return []config.Share{{Pool: pool, Weight: 1}} }
@@ -47,10 +46,10 @@
 	return out
 }
 
-// ready returns a gateway with a confirmed table and n workers in each pool.
+// ready returns a host with a confirmed route table and n workers in each pool.
 func ready(n int) requests.State { return readyWith(requests.Settings{Zone: "z"}, n) }
 
-// readyWith is ready with settings of its own.
+// readyWith is like ready, with the given settings.
 func readyWith(set requests.Settings, n int) requests.State {
 	s := requests.New(set).WithRouteTable(table()).WithHostCount(1)
 	s, _ = requests.Reduce(s, requests.Registered{From: "r", Workers: append(workers("plain", n), workers("engines", n)...)}, start)
@@ -62,7 +61,7 @@
 	return requests.Request{ID: ident.Request(id), Host: "a.example", Path: path, KeyHash: "key"}
 }
 
-// only returns the one decision on a request, beside what is noted of workers.
+// only returns the one decision on a request, ignoring changes of workers.
 func only(t require.TestingT, decisions []requests.Decision) requests.Decision {
 	var out []requests.Decision
 	for _, d := range decisions {
@@ -85,7 +84,7 @@
 	}}
 }
 
-// confirmedAt returns the state of a host whose table was confirmed as of a time.
+// confirmedAt returns the host after a confirmation as of a time.
 func confirmedAt(s requests.State, asOf time.Time) requests.State {
 	s, _ = requests.Reduce(s, requests.Confirmed{Confirmation: confirmation.At(asOf)}, asOf)
 	return s
--- a/core/requests/cachesource_test.go
+++ b/core/requests/cachesource_test.go
@@ -12,20 +12,20 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// shared is a prompt whose first part many requests share.
-func shared() requests.Prompt {
+// sharedPrompt is a prompt whose first part many requests share.
+func sharedPrompt() requests.Prompt {
 	return requests.Prompt{Model: "m", TokensIn: 1100, TokensOut: 50, Parts: []requests.Part{{ID: "subject", Tokens: 1000}, {ID: "own", Tokens: 100}}}
 }
 
-// TestRetryTakesThePrefixFromTheEngineThatFailed has the engine that ranks first answer
-// with a failure, decline, or break off: where it answered, the next one is told that
-// it keeps the prefix.
-func TestRetryTakesThePrefixFromTheEngineThatFailed(t *testing.T) {
+// TestRetryCopiesThePrefixFromTheFirstEngine guards against losing the cached prefix on a retry:
+// the engine tried first is the cache source if it answered, and not if its answer was
+// interrupted.
+func TestRetryCopiesThePrefixFromTheFirstEngine(t *testing.T) {
 	for name, result := range map[string]outcome.Attempt{
 		"failed": outcome.Answered{Status: 500}, "declined": outcome.Declined{}, "broke off": outcome.Interrupted{},
 	} {
 		r := request("1", "/resumable/x")
-		r.Prompt = shared()
+		r.Prompt = sharedPrompt()
 		s, d := arrive(t, ready(6), r, start)
 		first := d.(requests.Dispatch)
 		_, decisions := requests.Reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: result, CallerWaiting: true}, start)
@@ -36,11 +36,11 @@
 	}
 }
 
-// TestPrefixesAreTakenFromEnginesThatLeave has the engine that keeps a prefix begin to
-// leave: the next one takes its requests, and is told where the prefix is.
-func TestPrefixesAreTakenFromEnginesThatLeave(t *testing.T) {
+// TestPrefixesAreCopiedFromDrainingEngines guards against reading a prefix again although an
+// engine that is leaving still has it cached.
+func TestPrefixesAreCopiedFromDrainingEngines(t *testing.T) {
 	r := request("1", "/resumable/x")
-	r.Prompt = shared()
+	r.Prompt = sharedPrompt()
 	s, d := arrive(t, ready(6), r, start)
 	keeper := d.(requests.Dispatch).Worker
 	leaving := keeper
--- a/core/requests/choose.go
+++ b/core/requests/choose.go
@@ -97,7 +97,7 @@
 	alive, totalLoad int
 }
 
-// meanLoad is the mean load of the pool's workers, in requests.
+// meanLoad returns the mean load of the pool's workers, in requests.
 func (v poolView) meanLoad() float64 { return float64(v.totalLoad) / float64(max(1, v.alive)) }
 
 // candidates returns the workers that may take the call: the available ones, or else those that
--- a/core/requests/cold.go
+++ b/core/requests/cold.go
@@ -57,12 +57,12 @@
 	if !t.hostCountKnown {
 		return false
 	}
-	assigned := p.ColdPerSecond * coldFraction / float64(max(1, t.hostCount))
+	ratePerHost := p.ColdPerSecond * coldFraction / float64(max(1, t.hostCount))
 	drawn := float64(hash.Mix(hash.Of(string(t.settings.Host)), w.key)%coldDrawSteps) / coldDrawSteps
-	if drawn >= assigned {
+	if drawn >= ratePerHost {
 		return false
 	}
-	gap := time.Duration(float64(coldInterval) / max(1, assigned))
+	gap := time.Duration(float64(coldInterval) / max(1, ratePerHost))
 	return t.now.Sub(w.coldSentAt) >= gap
 }
 
--- a/core/requests/cold_test.go
+++ b/core/requests/cold_test.go
@@ -18,15 +18,14 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// What a cold worker bears a second on the users' shifted deployment, and the most that they
-// allow it: 1.5 times as much and 5.
+// The rate that a cold worker sustains, and the highest allowed: 1.5 times as much plus 5.
 const (
-	coldPerSecond = 8.9
-	coldMost      = 1.5*coldPerSecond + 5
+	coldPerSecond    = 8.9
+	maxColdPerSecond = 1.5*coldPerSecond + 5
 )
 
-// coldHost is a host of a fleet, which knows how many hosts there are unless that is 0, and
-// workers of which those named are cold for a while.
+// coldHost returns a host that knows the number of hosts unless that is 0, and workers, some of
+// them cold for a time.
 func coldHost(name string, hosts int, all []registry.Worker, cold map[ident.Target]time.Duration, now time.Time) requests.State {
 	t := table()
 	t.Number = 2
@@ -45,7 +44,7 @@
 	return confirmedAt(s, now)
 }
 
-// mostInASecond is the largest number of times within a second.
+// mostInASecond returns the largest number of times within one second.
 func mostInASecond(at []time.Time) int {
 	slices.SortFunc(at, time.Time.Compare)
 	most, from := 0, 0
@@ -58,11 +57,9 @@
 	return most
 }
 
-// TestColdWorkerGetsWhatItBearsFromAllHosts has every host of a large fleet send for one cold
-// engine all the time, as in a surge about one subject: it is the first engine of the subject,
-// and nothing else limits what it gets. A tenth of the hosts start again meanwhile: they forget
-// what they sent, and learn a moment later how many they are. The bound is the users' own.
-func TestColdWorkerGetsWhatItBearsFromAllHosts(t *testing.T) {
+// TestColdWorkerRateHoldsAcrossAllHosts guards against overloading a cold engine when all hosts
+// have requests for it at once and some hosts restart, which makes them forget what they sent.
+func TestColdWorkerRateHoldsAcrossAllHosts(t *testing.T) {
 	const engines = 4
 	for hosts, draws := range map[int]int{3: 40, 7: 40, 72: 20, 300: 6} {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
@@ -75,16 +72,16 @@
 				cold := map[ident.Target]time.Duration{all[0].ID: 3 * time.Second}
 				at := make([]time.Time, 0, hosts)
 				for h := range hosts {
-					at = append(at, sentWhileCold(t, r, fmt.Sprintf("host-%d", h), hosts, all, cold)...)
+					at = append(at, coldSendTimes(t, r, fmt.Sprintf("host-%d", h), hosts, all, cold)...)
 				}
-				require.LessOrEqual(t, float64(mostInASecond(at)), coldMost, "draw %d", draw)
+				require.LessOrEqual(t, float64(mostInASecond(at)), maxColdPerSecond, "draw %d", draw)
 			}
 		})
 	}
 }
 
-// sentWhileCold is when one host sends to the first worker, which is cold.
-func sentWhileCold(t *testing.T, r *rand.Rand, name string, hosts int, all []registry.Worker, cold map[ident.Target]time.Duration) []time.Time {
+// coldSendTimes returns when one host sends to the first worker, which is cold.
+func coldSendTimes(t *testing.T, r *rand.Rand, name string, hosts int, all []registry.Worker, cold map[ident.Target]time.Duration) []time.Time {
 	s := coldHost(name, hosts, all, cold, start)
 	again := time.Duration(-1)
 	if r.IntN(10) == 0 {
@@ -104,11 +101,11 @@
 		}
 		id := ident.Request(fmt.Sprintf("%s-%d", name, passed))
 		req := request(string(id), "/resumable/x")
-		req.Prompt = prompt(preferring(all[0].ID, all))
+		req.Prompt = prompt(subjectFor(all[0].ID, all))
 		var d requests.Decision
 		s, d = arrive(t, s, req, now)
 		sent, ok := d.(requests.Dispatch)
-		require.True(t, ok, "others are warm")
+		require.True(t, ok, "the other workers are warm")
 		if sent.Worker.ID == all[0].ID {
 			at = append(at, now)
 		}
@@ -119,11 +116,11 @@
 	return at
 }
 
-// preferred remembers the subjects found by preferring.
+// preferred caches the results of subjectFor.
 var preferred = map[ident.Target]string{}
 
-// preferring is a subject whose first engine is the one given.
-func preferring(id ident.Target, all []registry.Worker) string {
+// subjectFor returns a subject whose first engine is the one given.
+func subjectFor(id ident.Target, all []registry.Worker) string {
 	if subject, ok := preferred[id]; ok {
 		return subject
 	}
@@ -139,9 +136,9 @@
 	}
 }
 
-// TestWorkerIsAsColdAsItSays compares what one host sends a worker that says nothing, one that
-// is cold, one that was, and one of a pool without such a bound.
-func TestWorkerIsAsColdAsItSays(t *testing.T) {
+// TestColdLimitFollowsReportAndPool guards against limiting workers that are warm, or whose pool
+// has no limit for cold workers.
+func TestColdLimitFollowsReportAndPool(t *testing.T) {
 	all := workers("plain", 1)
 	sent := func(cold time.Duration, perSecond float64, after time.Duration) int {
 		s := coldHost("host-1", 3, all, map[ident.Target]time.Duration{all[0].ID: cold}, start)
@@ -165,10 +162,9 @@
 	require.Equal(t, 20, sent(time.Second, 0, 0))
 }
 
-// TestFleetOfColdWorkersServesWhatTheyBear has all engines of a large fleet come back cold
-// under the users' own traffic, 435 prompts a second for 90 engines of 72 hosts: every engine
-// keeps within its bound, and what is not served is refused at once, as not run.
-func TestFleetOfColdWorkersServesWhatTheyBear(t *testing.T) {
+// TestColdFleetServesItsSustainedRate guards against overload, and against refusing too much,
+// when all engines of a large fleet are cold.
+func TestColdFleetServesItsSustainedRate(t *testing.T) {
 	const hosts, engines, perSecond = 72, 90, 435
 	all := workers("engines", engines)
 	cold := map[ident.Target]time.Duration{}
@@ -200,7 +196,7 @@
 		}
 	}
 	for id, times := range at {
-		require.LessOrEqual(t, float64(mostInASecond(times)), coldMost, id)
+		require.LessOrEqual(t, float64(mostInASecond(times)), maxColdPerSecond, id)
 	}
 	require.Greater(t, served, 3*perSecond/2)
 }
--- a/core/requests/crashes.go
+++ b/core/requests/crashes.go
@@ -48,8 +48,8 @@
 	return refused
 }
 
-// crashVerdictFor returns the verdict on such a call. The caller may retry once the refusal
-// expires.
+// crashVerdictFor returns the verdict on a call that is blocked because it crashes workers. The
+// caller may retry once the refusal expires.
 func (t *transition) crashVerdictFor(c call) Verdict {
 	v := Verdict{Outcome: c.combinedOutcome, Code: CodeCrashes, Reason: CrashReason(c.content)}
 	if v.Outcome == outcome.NotRun {
--- a/core/requests/crashes_test.go
+++ b/core/requests/crashes_test.go
@@ -16,8 +16,8 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// known is a request whose content is known.
-func known(id, path string) requests.Request {
+// requestWithDigest returns a request whose content is known.
+func requestWithDigest(id, path string) requests.Request {
 	r := request(id, path)
 	r.Digest = []byte(path)
 	return r
@@ -25,8 +25,8 @@
 
 func contentOf(path string) crashes.Content { return crashes.ContentOf("halls", []byte(path)) }
 
-// refusing returns a gateway that holds three ends against a request.
-func refusing(s requests.State, path string) requests.State {
+// withCrashes returns the host with three crashes recorded for a request.
+func withCrashes(s requests.State, path string) requests.State {
 	return s.WithCrashList(crashes.List{}.With(start, crashes.Entry{Content: contentOf(path), Crashes: 3, At: start}))
 }
 
@@ -44,26 +44,26 @@
 	return n
 }
 
-// brokenAt sends a request that must not run twice and breaks it off at its worker.
-func brokenAt(t *testing.T, s requests.State, result outcome.Interrupted, now time.Time) (requests.State, requests.Dispatch, int) {
+// interruptFirst sends a request that must run at most once and interrupts it at its worker.
+func interruptFirst(t *testing.T, s requests.State, result outcome.Interrupted, now time.Time) (requests.State, requests.Dispatch, int) {
 	t.Helper()
-	s, d := arrive(t, s, known("1", "/unsafe/bad"), now)
+	s, d := arrive(t, s, requestWithDigest("1", "/unsafe/bad"), now)
 	sent := d.(requests.Dispatch)
 	require.Equal(t, contentOf("/unsafe/bad"), sent.Content)
 	s, decisions := reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: result, CallerWaiting: true}, now.Add(time.Second))
 	return s, sent, probes(decisions)
 }
 
-// TestBrokenAttemptIsACrashOnceItsWorkerEnded breaks an attempt off and brings each proof
-// that the worker's process ended, or that it lives.
-func TestBrokenAttemptIsACrashOnceItsWorkerEnded(t *testing.T) {
+// TestInterruptedAttemptIsACrashOnceItsWorkerEnded guards against counting an interrupted attempt
+// as a crash without proof that the worker's process ended, and against missing such proof.
+func TestInterruptedAttemptIsACrashOnceItsWorkerEnded(t *testing.T) {
 	later := start.Add(1100 * time.Millisecond)
 	successor := func(w registry.Worker) registry.Worker {
 		w.ID, w.Seq = "successor", 1
 		return w
 	}
 	again := func(d requests.Dispatch) requests.Event {
-		return requests.Registered{From: "r", Workers: []registry.Worker{startedAgain(d.Worker)}}
+		return requests.Registered{From: "r", Workers: []registry.Worker{restarted(d.Worker)}}
 	}
 	for name, c := range map[string]struct {
 		proof func(requests.State, requests.Dispatch) requests.Event
@@ -83,7 +83,7 @@
 			return requests.ProbeEnded{Worker: d.Worker.ID}
 		}, false},
 	} {
-		s, sent, asked := brokenAt(t, bornReady(1), outcome.Interrupted{Reason: "unexpected EOF"}, start)
+		s, sent, asked := interruptFirst(t, readyWithStarts(1), outcome.Interrupted{Reason: "unexpected EOF"}, start)
 		require.Equal(t, 1, asked, name)
 		s, _ = reduce(s, c.proof(s, sent), later)
 		reports := s.CrashReports().Recent(later)
@@ -95,16 +95,16 @@
 		require.Equal(t, contentOf("/unsafe/bad"), reports[0].Content)
 		want := crashes.Crash{Attempt: "1/1", Worker: sent.Worker.ID, SentAt: start, EndedAt: start.Add(time.Second)}
 		require.Equal(t, want, reports[0].Crash, name)
-		require.Empty(t, s.CrashReports().Recent(later.Add(time.Minute)), "it is not reported for ever")
+		require.Empty(t, s.CrashReports().Recent(later.Add(time.Minute)), "reports expire")
 	}
 
-	// Something between takes connections for a worker that has ended; then its next process
-	// is the proof, unless the one before has answered since.
+	// An intermediary accepts connections for a worker that has ended; then its next process is
+	// the proof, unless the previous one has answered since.
 	for _, answers := range []bool{false, true} {
-		s, sent, _ := brokenAt(t, bornReady(1), outcome.Interrupted{Reason: "unexpected EOF"}, start)
+		s, sent, _ := interruptFirst(t, readyWithStarts(1), outcome.Interrupted{Reason: "unexpected EOF"}, start)
 		s, _ = reduce(s, requests.ProbeEnded{Worker: sent.Worker.ID, OK: true}, later)
 		if answers {
-			s, _ = arrive(t, s, known("2", "/unsafe/other"), later)
+			s, _ = arrive(t, s, requestWithDigest("2", "/unsafe/other"), later)
 			s, _ = reduce(s, requests.AttemptEnded{Request: "2", Attempt: 1, Result: outcome.Answered{Status: 200}, CallerWaiting: true}, later)
 		}
 		s, _ = reduce(s, again(sent), later)
@@ -112,12 +112,12 @@
 	}
 }
 
-// TestOneProbeForAWorkerThatEnds breaks many attempts off at one worker, and a refused
-// connection of a request proves all of them.
+// TestOneProbeForAWorkerThatEnds guards against one probe per interrupted attempt; one refused
+// connection is proof for all of them.
 func TestOneProbeForAWorkerThatEnds(t *testing.T) {
-	s, asked := bornReady(1), 0
+	s, asked := readyWithStarts(1), 0
 	for i := range 20 {
-		s, _ = arrive(t, s, known(fmt.Sprint(i), fmt.Sprint("/unsafe/", i)), start)
+		s, _ = arrive(t, s, requestWithDigest(fmt.Sprint(i), fmt.Sprint("/unsafe/", i)), start)
 	}
 	for i := range 20 {
 		var decisions []requests.Decision
@@ -125,58 +125,58 @@
 		asked += probes(decisions)
 	}
 	require.Equal(t, 1, asked)
-	s, d := arrive(t, s, known("next", "/unsafe/next"), start)
+	s, d := arrive(t, s, requestWithDigest("next", "/unsafe/next"), start)
 	s, _ = reduce(s, requests.AttemptEnded{Request: "next", Attempt: d.(requests.Dispatch).Attempt, Result: outcome.NeverSent{ConnectRefused: true}, CallerWaiting: true}, start)
 	require.Len(t, s.CrashReports().Recent(start), 20)
 }
 
-// TestWhatShowsNoCrash breaks attempts off where a worker ends as planned, where nothing came
-// in time, where the proof comes late, and without a known content.
-func TestWhatShowsNoCrash(t *testing.T) {
+// TestNoCrashWithoutProof guards against counting planned exits, timeouts, late proof and
+// requests without known content as crashes.
+func TestNoCrashWithoutProof(t *testing.T) {
 	refuse := func(s requests.State, d requests.Dispatch, now time.Time) []crashes.Report {
 		s, _ = reduce(s, requests.ProbeEnded{Worker: d.Worker.ID, Refused: true}, now)
 		return s.CrashReports().Recent(now)
 	}
-	s, d, asked := brokenAt(t, bornReady(1), outcome.Interrupted{TimedOut: true}, start)
+	s, d, asked := interruptFirst(t, readyWithStarts(1), outcome.Interrupted{TimedOut: true}, start)
 	require.Zero(t, asked)
 	require.Empty(t, refuse(s, d, start.Add(time.Second)))
 
-	s, d, _ = brokenAt(t, bornReady(1), outcome.Interrupted{}, start)
-	require.Empty(t, refuse(s, d, start.Add(time.Minute)), "it may have ended for any other reason since")
+	s, d, _ = interruptFirst(t, readyWithStarts(1), outcome.Interrupted{}, start)
+	require.Empty(t, refuse(s, d, start.Add(time.Minute)), "the process may have ended later for another reason")
 
-	s, first := arrive(t, bornReady(1), known("1", "/unsafe/bad"), start)
+	s, first := arrive(t, readyWithStarts(1), requestWithDigest("1", "/unsafe/bad"), start)
 	leaving := first.(requests.Dispatch).Worker
 	leaving.State, leaving.Seq = registry.Draining, leaving.Seq+1
 	s, _ = register(s, leaving, start)
 	s, _ = reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Interrupted{}, CallerWaiting: true}, start)
 	require.Empty(t, refuse(s, first.(requests.Dispatch), start))
 
-	s, first = arrive(t, bornReady(1), request("1", "/unsafe/bad"), start)
+	s, first = arrive(t, readyWithStarts(1), request("1", "/unsafe/bad"), start)
 	s, decisions := reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Interrupted{}, CallerWaiting: true}, start)
 	require.Zero(t, probes(decisions))
 	require.Empty(t, refuse(s, first.(requests.Dispatch), start))
 }
 
-// TestRefusedRequestGoesNowhere takes each way by which a request is sent, once workers are
-// known to end under it.
-func TestRefusedRequestGoesNowhere(t *testing.T) {
+// TestCrashingRequestIsSentToNoWorker guards against any path that sends a request known to crash
+// workers.
+func TestCrashingRequestIsSentToNoWorker(t *testing.T) {
 	finished := func(d requests.Decision) requests.Verdict {
 		f, ok := d.(requests.Finish)
 		require.True(t, ok, "%#v", d)
 		return f.Verdict
 	}
-	s := refusing(bornReady(3), "/unsafe/bad")
-	_, d := arrive(t, s, known("1", "/unsafe/bad"), start.Add(time.Second))
+	s := withCrashes(readyWithStarts(3), "/unsafe/bad")
+	_, d := arrive(t, s, requestWithDigest("1", "/unsafe/bad"), start.Add(time.Second))
 	v := finished(d)
 	require.Equal(t, requests.CodeCrashes, v.Code)
 	require.Equal(t, outcome.NotRun, v.Outcome)
 	require.Equal(t, 10*time.Minute-time.Second, v.RetryAfter)
 	for i := range 100 {
-		s, _ = arrive(t, s, known(fmt.Sprint("again ", i), "/unsafe/bad"), start)
+		s, _ = arrive(t, s, requestWithDigest(fmt.Sprint("again ", i), "/unsafe/bad"), start)
 	}
 	require.Zero(t, s.Counters().Dispatched)
 
-	other := known("2", "/unsafe/bad")
+	other := requestWithDigest("2", "/unsafe/bad")
 	other.Digest = []byte("another body")
 	_, d = arrive(t, s, other, start)
 	require.IsType(t, requests.Dispatch{}, d)
@@ -192,8 +192,8 @@
 		"declined":   {outcome.Declined{Reason: "full"}, requests.CodeOverloaded, outcome.NotRun},
 		"failed":     {outcome.Answered{Status: 500}, requests.CodeOK, outcome.Ran},
 	} {
-		s, first := arrive(t, bornReady(3), known("1", "/safe/bad"), start)
-		s = refusing(s, "/safe/bad")
+		s, first := arrive(t, readyWithStarts(3), requestWithDigest("1", "/safe/bad"), start)
+		s = withCrashes(s, "/safe/bad")
 		_, decisions := reduce(s, requests.AttemptEnded{
 			Request: "1", Attempt: first.(requests.Dispatch).Attempt, Result: c.result, CallerWaiting: true,
 		}, start)
@@ -207,24 +207,24 @@
 		require.Equal(t, c.code, v.Code, name)
 		require.Equal(t, c.kind, v.Outcome, name)
 	}
-	s, first := arrive(t, bornReady(3), known("1", "/safe/bad"), start)
-	_, decisions := reduce(refusing(s, "/safe/bad"), requests.HeaderTimedOut{Request: "1", Attempt: first.(requests.Dispatch).Attempt}, start)
-	require.Empty(t, decisions, "an attempt is not given up for another one")
+	s, first := arrive(t, readyWithStarts(3), requestWithDigest("1", "/safe/bad"), start)
+	_, decisions := reduce(withCrashes(s, "/safe/bad"), requests.HeaderTimedOut{Request: "1", Attempt: first.(requests.Dispatch).Attempt}, start)
+	require.Empty(t, decisions, "the attempt must not be canceled")
 }
 
-// TestAnswerClearsARequest answers a request that is watched, and one that is refused and
-// still in progress.
+// TestAnswerClearsARequest guards against refusing a request that has been answered successfully
+// since.
 func TestAnswerClearsARequest(t *testing.T) {
 	for _, ends := range []int{2, 3} {
-		s, _ := arrive(t, bornReady(1), known("1", "/unsafe/x"), start)
+		s, _ := arrive(t, readyWithStarts(1), requestWithDigest("1", "/unsafe/x"), start)
 		s = s.WithCrashList(crashes.List{}.With(start, crashes.Entry{Content: contentOf("/unsafe/x"), Crashes: ends, At: start}))
 		failed, _ := reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Answered{Status: 500}, CallerWaiting: true}, start.Add(2*time.Second))
 		e, _ := failed.CrashList().Get(contentOf("/unsafe/x"))
-		require.Equal(t, ends, e.Crashes, "a failure shows nothing")
+		require.Equal(t, ends, e.Crashes, "a server error does not clear the request")
 		s, _ = reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: outcome.Answered{Status: 200}, CallerWaiting: true}, start.Add(2*time.Second))
 		e, _ = s.CrashList().Get(contentOf("/unsafe/x"))
 		require.Zero(t, e.Crashes)
-		_, d := arrive(t, s, known("2", "/unsafe/x"), start.Add(2*time.Second))
+		_, d := arrive(t, s, requestWithDigest("2", "/unsafe/x"), start.Add(2*time.Second))
 		require.IsType(t, requests.Dispatch{}, d)
 	}
 }
--- a/core/requests/decision.go
+++ b/core/requests/decision.go
@@ -45,8 +45,9 @@
 	// Pause asks for a PauseEnded after a time; that event yields the request's next decision.
 	Pause struct {
 		Request ident.Request
-		Worker  ident.Target
-		For     time.Duration
+		// Worker is the worker to which the request is then resent, unless it becomes unavailable.
+		Worker ident.Target
+		For    time.Duration
 	}
 	// Wait queues a request; a later event yields its next decision.
 	Wait struct{ Request ident.Request }
--- a/core/requests/drained_test.go
+++ b/core/requests/drained_test.go
@@ -16,7 +16,7 @@
 	"github.com/yardhall/yardhall/core/zones"
 )
 
-// drain is what a host knows after orders to drain zones.
+// drain returns the zones drained after orders for each.
 func drain(names ...ident.Zone) zones.Drained {
 	var d zones.Drained
 	for _, z := range names {
@@ -25,7 +25,7 @@
 	return d
 }
 
-// inZones returns the pool's workers, one in each zone.
+// inZones returns workers of a pool, one in each zone.
 func inZones(pool ident.Service, slots int, names ...ident.Zone) []registry.Worker {
 	out := workers(pool, len(names))
 	for i := range out {
@@ -34,8 +34,7 @@
 	return out
 }
 
-// drainingHost serves two pools from three zones; the last confirmation that the zones were
-// not drained is of the start.
+// drainingHost serves two pools from three zones, and was last confirmed at the start.
 func drainingHost(slots int) requests.State {
 	s := ready(0)
 	three := []ident.Zone{"za", "zb", "zc"}
@@ -44,18 +43,17 @@
 	return s
 }
 
-// handedOver is when a zone's work has been handed over to others, for an order learned of at
-// the start.
-var handedOver = start.Add(requests.DefaultZoneDrain / 2)
+// shiftEnd is when a zone's traffic has been shifted, for an order learned of at the start.
+var shiftEnd = start.Add(requests.DefaultZoneDrain / 2)
 
-// TestWorkOfADrainedZoneIsHandedOver counts the requests that go to a drained zone while others
-// have room: a third before the order, fewer each half second, none once half of its time is over.
-func TestWorkOfADrainedZoneIsHandedOver(t *testing.T) {
+// TestTrafficShiftsAwayFromADrainedZone guards against shifting the traffic of a drained zone all
+// at once or too late.
+func TestTrafficShiftsAwayFromADrainedZone(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/once/x", "/resumable/x"} {
 		s := drainingHost(640).WithDrainedZones(drain("zb"))
 		const requestsEach = 300
 		last := requestsEach
-		for now := start; !now.After(handedOver); now = now.Add(500 * time.Millisecond) {
+		for now := start; !now.After(shiftEnd); now = now.Add(500 * time.Millisecond) {
 			there := 0
 			s = confirmedAt(s, now)
 			for i := range requestsEach {
@@ -71,8 +69,8 @@
 	}
 }
 
-// TestNothingNewGoesToADrainedZone sends requests of all kinds once a zone's time is over,
-// has attempts declined, broken and failed, and looks where the next ones go.
+// TestNothingNewGoesToADrainedZone guards against first attempts, retries and resends to a zone
+// after its drain time.
 func TestNothingNewGoesToADrainedZone(t *testing.T) {
 	ends := map[string]outcome.Attempt{
 		"declined": outcome.Declined{Reason: "full"}, "never sent": outcome.NeverSent{Reason: "refused"},
@@ -107,7 +105,7 @@
 	}
 }
 
-// last is the last decision on a request.
+// last returns the last decision on a request.
 func last(decisions []requests.Decision) requests.Decision {
 	for i := len(decisions) - 1; i >= 0; i-- {
 		switch d := decisions[i].(type) {
@@ -118,9 +116,8 @@
 	return nil
 }
 
-// TestLastWorkersServeUntilTheZoneIsClosed drains the zones of all workers: the pool is served
-// there until the time is over that began with the last confirmation before the orders, and
-// from then on requests are refused at once as not run.
+// TestLastWorkersServeUntilTheZoneIsClosed guards against refusing requests too early, or serving
+// them too late, if all zones with workers of a pool are drained.
 func TestLastWorkersServeUntilTheZoneIsClosed(t *testing.T) {
 	learned := start.Add(900 * time.Millisecond)
 	s := drainingHost(64).WithDrainedZones(drain("za", "zb", "zc"))
@@ -145,13 +142,13 @@
 	require.Equal(t, ident.Zone("zb"), d.(requests.Dispatch).Worker.Zone)
 }
 
-// TestFullWorkersAreHelpedByADrainingZone fills the workers of the other zones: three plain
-// workers with a few slots each, one a zone, are the scarcest pool that users run, and two of
-// them do not take at once what three had. Nothing goes to the zone once its time is over.
+// TestFullWorkersAreHelpedByADrainingZone guards against declines while the workers of other
+// zones are full and the drained zone may still be used, and against using it after its drain
+// time.
 func TestFullWorkersAreHelpedByADrainingZone(t *testing.T) {
 	const slots = 6
 	s := drainingHost(slots).WithDrainedZones(drain("zb"))
-	now := handedOver
+	now := shiftEnd
 	s = confirmedAt(s, now)
 	sent := map[ident.Zone]int{}
 	sinceFull := 0
@@ -173,9 +170,9 @@
 	require.NotEqual(t, ident.Zone("zb"), d.(requests.Dispatch).Worker.Zone)
 }
 
-// TestPrefixesAreTakenOverFromADrainedZone looks where an engine is told to take a prefix
-// from whose first engine is in a drained zone.
-func TestPrefixesAreTakenOverFromADrainedZone(t *testing.T) {
+// TestPrefixesAreCopiedFromADrainedZone guards against reading prefixes again that engines of a
+// drained zone have cached.
+func TestPrefixesAreCopiedFromADrainedZone(t *testing.T) {
 	s := drainingHost(64)
 	moved := 0
 	for i := range 40 {
@@ -186,7 +183,7 @@
 		if before.Zone != "zb" {
 			continue
 		}
-		_, d = arrive(t, confirmedAt(s.WithDrainedZones(drain("zb")), handedOver), r, handedOver)
+		_, d = arrive(t, confirmedAt(s.WithDrainedZones(drain("zb")), shiftEnd), r, shiftEnd)
 		require.Equal(t, before.Address, d.(requests.Dispatch).CacheFrom)
 		moved++
 	}
--- a/core/requests/engine_test.go
+++ b/core/requests/engine_test.go
@@ -15,7 +15,7 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// threeZones returns a gateway of zone z0 with workers in three zones.
+// threeZones returns a host of zone z0 with workers in three zones.
 func threeZones(each int) requests.State {
 	var all []registry.Worker
 	for _, pool := range []ident.Service{"plain", "engines"} {
@@ -30,7 +30,7 @@
 	return s
 }
 
-// zonesOf sends requests, which all stay in progress, and counts where they went.
+// zonesOf sends requests that all stay in progress, and counts them by zone.
 func zonesOf(t *testing.T, s requests.State, path string, p requests.Prompt, n int) map[ident.Zone]int {
 	t.Helper()
 	out := map[ident.Zone]int{}
@@ -47,9 +47,9 @@
 	return out
 }
 
-// TestWhatMustNotRunTwiceStaysInItsZone compares where requests go that may and that
-// must not run again, with prompts whose shared parts are short and long.
-func TestWhatMustNotRunTwiceStaysInItsZone(t *testing.T) {
+// TestAtMostOnceRequestsPreferTheirZone guards against sending requests that must run at most
+// once to other zones without need, and against reading long prefixes in every zone.
+func TestAtMostOnceRequestsPreferTheirZone(t *testing.T) {
 	short := requests.Prompt{Model: "m", TokensIn: 830, TokensOut: 300, Parts: []requests.Part{{Tokens: 700}, {ID: "own", Tokens: 130}}}
 	long := requests.Prompt{Model: "m", TokensIn: 12000, TokensOut: 300, Parts: []requests.Part{{Tokens: 11000}, {ID: "own", Tokens: 1000}}}
 	require.Len(t, zonesOf(t, threeZones(4), "/once/x", short, 8), 1)
@@ -57,15 +57,14 @@
 	require.Len(t, zonesOf(t, threeZones(4), "/once/x", long, 60), 3)
 	// Beyond the bound on an engine's load the other zones help.
 	require.Len(t, zonesOf(t, threeZones(1), "/once/x", short, 60), 3)
-	// Plain workers: the own one takes more, and not all.
+	// Plain workers: the own zone gets more requests, but not all.
 	zones := zonesOf(t, threeZones(1), "/unsafe/x", requests.Prompt{}, 20)
 	require.Len(t, zones, 3)
 	require.Greater(t, zones["z0"], zones["z1"])
 }
 
-// TestPromptsKeepTheirEngineWithinTheBound sends a surge about one subject: it
-// goes to one engine while that has room, no engine goes beyond the bound, and
-// what is sent elsewhere names the first engine as the source of the prefix.
+// TestPromptsKeepTheirEngineWithinTheBound guards against loads beyond the bound, and against
+// losing the cached prefix, when requests with one prefix surge.
 func TestPromptsKeepTheirEngineWithinTheBound(t *testing.T) {
 	const engines = 6
 	s, now := ready(engines), start
@@ -91,7 +90,7 @@
 	require.Greater(t, load[home.Worker.ID], 60/engines, "the first engine takes what the bound allows")
 }
 
-func TestEqualPrefixesMeetOnEveryHost(t *testing.T) {
+func TestAllHostsChooseTheSameEngineForAPrefix(t *testing.T) {
 	for subject := range 20 {
 		var first ident.Target
 		for host := range 3 {
--- a/core/requests/fleet_test.go
+++ b/core/requests/fleet_test.go
@@ -19,58 +19,56 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// A fleet in simulated time: hundreds of hosts, each with its own State, before engines that
-// read prompts, keep what they read, and make tokens. Hosts learn of each other's requests
-// late. It shows what callers get from the choice of engines: who finds a prefix read,
-// what is read again, and how far engines are loaded.
+// A simulation of a fleet: hundreds of hosts, each with its own State, and engines that read
+// prompts, cache prefixes and generate tokens. Hosts receive reports of each other's requests
+// late. The results show how often prefixes are found cached, what is read again, and how engines
+// are loaded.
 
-// kind is one kind of request, as callers send it.
-type kind struct {
+// requestKind is one kind of request.
+type requestKind struct {
 	path      string
 	perSecond float64
-	// system and subject are the tokens of the parts that requests share, systems and
-	// subjects how many of each there are; own are the tokens of a request's own part.
+	// system and subject are the tokens of the parts that requests share, systems and subjects
+	// the numbers of different parts; own are the tokens of a request's own part.
 	system, subject, own int
 	systems, subjects    int
-	// tokensOut is how many tokens are made.
+	// tokensOut is the number of tokens generated.
 	tokensOut int
 	// objective is the time to the first token.
 	objective time.Duration
 }
 
-// load describes a fleet and its traffic.
-type load struct {
+// fleetLoad describes a fleet and its traffic.
+type fleetLoad struct {
 	hosts, engines, zones int
-	kinds                 []kind
-	// reportAge is how old the loads of other hosts are when a host takes them.
+	kinds                 []requestKind
+	// reportAge is the age of other hosts' loads when a host receives them.
 	reportAge time.Duration
-	// hot is the share of the first kind that is about one subject, from hotFrom to hotTo.
+	// hot is the fraction of the first kind that shares one subject, from hotFrom to hotTo.
 	hot            float64
 	hotFrom, hotTo time.Duration
-	// burst multiplies all traffic, from hotFrom to hotTo.
+	// burst multiplies all traffic from hotFrom to hotTo.
 	burst float64
-	// replacedEach, where set, is the time between two engines that are replaced: a new one
-	// joins, an old one leaves.
-	replacedEach time.Duration
+	// replaceInterval, if set, is the time between replacements of an engine by a new one.
+	replaceInterval time.Duration
 	// cold is how long a new engine that replaces another one is cold.
 	cold time.Duration
-	// replaced is the share of engines at whose addresses another process answers from
-	// hotFrom to hotTo; unreported leaves it to each host to find out, and keeps what hosts
-	// send once more from each other.
+	// replaced is the fraction of engines at whose addresses another process answers from hotFrom
+	// to hotTo. With unreported, hosts share neither these observations nor their retry spending.
 	replaced   float64
 	unreported bool
-	// keptTokens are the tokens that an engine keeps; 0 is those of hallsLoad.
-	keptTokens int
+	// cacheTokens is the cache size of an engine in tokens; 0 is defaultCacheTokens.
+	cacheTokens int
 	// drained is a zone that is drained at hotFrom; empty for none.
 	drained ident.Zone
 }
 
-// hallsLoad is the traffic of many small hosts before lightly loaded engines: long prompts
-// that share most of their tokens, short ones, and labels of a few tokens.
-func hallsLoad() load {
-	return load{
+// longPromptLoad is the traffic of many hosts to lightly loaded engines: long prompts that share
+// most of their tokens, short ones, and ones with few output tokens.
+func longPromptLoad() fleetLoad {
+	return fleetLoad{
 		hosts: 295, engines: 160, zones: 5, reportAge: 700 * time.Millisecond, burst: 1,
-		kinds: []kind{
+		kinds: []requestKind{
 			{path: "/plan/x", perSecond: 128, system: 512, subject: 10000, own: 1300, systems: 3, subjects: 287, tokensOut: 378, objective: 1200 * time.Millisecond},
 			{path: "/brief/x", perSecond: 228, system: 119, subject: 580, own: 130, systems: 32, subjects: 513, tokensOut: 294, objective: 600 * time.Millisecond},
 			{path: "/tag/x", perSecond: 196, system: 341, subject: 1700, own: 360, systems: 80, subjects: 991, tokensOut: 28, objective: 800 * time.Millisecond},
@@ -78,12 +76,12 @@
 	}
 }
 
-// pickersLoad is the traffic of a third as many hosts before engines that keep less: short
-// instructions come more often than long plans, and all of them are about more subjects.
-func pickersLoad() load {
-	return load{
-		hosts: 72, engines: 90, zones: 3, reportAge: 450 * time.Millisecond, burst: 1, keptTokens: 292_990,
-		kinds: []kind{
+// shortPromptLoad is the traffic of fewer hosts to engines with a smaller cache, mostly short
+// prompts.
+func shortPromptLoad() fleetLoad {
+	return fleetLoad{
+		hosts: 72, engines: 90, zones: 3, reportAge: 450 * time.Millisecond, burst: 1, cacheTokens: 292_990,
+		kinds: []requestKind{
 			{path: "/plan/x", perSecond: 77.4, system: 512, subject: 10000, own: 1300, systems: 3, subjects: 312, tokensOut: 380, objective: 1200 * time.Millisecond},
 			{path: "/brief/x", perSecond: 240, system: 119, subject: 580, own: 130, systems: 8, subjects: 371, tokensOut: 290, objective: 500 * time.Millisecond},
 			{path: "/tag/x", perSecond: 118, system: 341, subject: 1700, own: 360, systems: 8, subjects: 477, tokensOut: 20, objective: 600 * time.Millisecond},
@@ -91,19 +89,19 @@
 	}
 }
 
-// How engines work: tokens read in a millisecond, the time of a step and what each request
-// adds to it, the tokens kept, and the size of a token.
+// Engine model: tokens read per millisecond, duration of a step and its increase per request,
+// cache size in tokens, and the steps of the simulation.
 const (
-	readPerMs   = 48.2
-	stepMs      = 2.6
-	stepMsEach  = 0.12
-	hallsTokens = 423_395
-	simStep     = 10 * time.Millisecond
-	reportEvery = 300 * time.Millisecond
-	engineSlots = 64
-	subjectSkew = 0.3
-	// readAgainWithin is how recently an engine must have used a part for another one's
-	// reading of it to count as reading again.
+	readPerMs          = 48.2
+	stepMs             = 2.6
+	stepMsEach         = 0.12
+	defaultCacheTokens = 423_395
+	simStep            = 10 * time.Millisecond
+	reportEvery        = 300 * time.Millisecond
+	engineSlots        = 64
+	subjectSkew        = 0.3
+	// readAgainWithin is how recently another engine must have used a part for reading it to
+	// count as reading again.
 	readAgainWithin = 10 * time.Second
 )
 
@@ -112,44 +110,42 @@
 	id      ident.Request
 	host    int
 	attempt int
-	kind    *kind
+	kind    *requestKind
 	route   string
 	parts   []requests.Part
 	from    string
-	// unread are prompt tokens still to be read, left the tokens still to be made.
+	// unread is the number of prompt tokens still to be read, left that of tokens still to be
+	// generated.
 	unread float64
 	left   float64
 	first  bool
 }
 
-// simEngine is one engine.
 type simEngine struct {
-	worker  registry.Worker
-	jobs    []*job
-	kept    map[string]keptPart
-	tokens  int
-	leaving bool
-	// most is how many tokens it keeps.
-	most int
-	// replaced is set where another process may answer at the address.
+	worker    registry.Worker
+	jobs      []*job
+	cache     map[string]cachedPart
+	tokens    int
+	leaving   bool
+	maxTokens int
+	// replaced is set if another process may answer at the address.
 	replaced bool
 }
 
-type keptPart struct {
+type cachedPart struct {
 	tokens int
 	used   time.Time
 }
 
 // simRequest is a request in progress.
 type simRequest struct {
-	kind    *kind
+	kind    *requestKind
 	request requests.Request
 	arrived time.Time
 }
 
-// simFleet is the fleet.
 type simFleet struct {
-	load    load
+	load    fleetLoad
 	random  *rand.Rand
 	now     time.Time
 	began   time.Time
@@ -160,45 +156,46 @@
 	sizes   map[string]int
 	reports []loadReport
 	added   int
-	figures figures
-	// from is when counting begins.
+	results fleetResults
+	// from is when recording begins.
 	from time.Time
 }
 
-// loadReport is what all hosts had at engines, as of a time.
+// loadReport holds the requests of all hosts at engines, as of a time.
 type loadReport struct {
 	asOf  time.Time
 	total loads.Digest
 	own   []loads.Digest
-	// silent are the workers that a replica takes for silent.
+	// silent holds the workers that a replica treats as silent.
 	silent []registry.Worker
 }
 
-// figures are what callers got.
-type figures struct {
+// fleetResults are the results of a simulation.
+type fleetResults struct {
 	requests, first, beyondFifth int
-	// long are the requests with the longest prefixes, longFirst those of them that went to
-	// the first engine of their order.
+	// long counts the requests with the longest prefixes, longFirst those of them sent to the
+	// first engine of their rendezvous order.
 	long, longFirst int
-	// tokens are all prompt tokens, read those that engines read, readAgain those of shared
-	// parts that another engine kept, moved those taken over from another engine.
-	tokens, read, readAgain, moved int
-	// over counts the requests that reached an engine above the bound that callers were
-	// promised; worst is the most that any engine had over that bound.
-	over  int
-	worst float64
-	// late are those whose first token came after the objective, waits the times to it.
+	// tokens counts all prompt tokens, read those that engines read, readAgain those of shared
+	// parts that another engine had cached, copied those copied from another engine.
+	tokens, read, readAgain, copied int
+	// overBound counts the requests that reached an engine above the promised load bound; worst
+	// is the highest ratio of an engine's load to that bound.
+	overBound int
+	worst     float64
+	// late counts the requests whose first token came after the objective; waits are the times to
+	// it.
 	late  int
 	waits []float64
-	// declined counts the attempts that met another process, refused the requests that
-	// ended without an answer.
+	// declined counts the attempts that met another process, refused the requests without an
+	// answer.
 	declined, refused int
 }
 
-func (f figures) share(n int) float64 { return float64(n) / float64(max(1, f.requests)) }
+func (f fleetResults) share(n int) float64 { return float64(n) / float64(max(1, f.requests)) }
 
-// wait is a quantile of the times to the first token, in milliseconds.
-func (f figures) wait(q float64) float64 {
+// wait returns a quantile of the times to the first token, in milliseconds.
+func (f fleetResults) wait(q float64) float64 {
 	if len(f.waits) == 0 {
 		return 0
 	}
@@ -206,14 +203,14 @@
 	return f.waits[int(q*float64(len(f.waits)-1))]
 }
 
-func (f figures) String() string {
+func (f fleetResults) String() string {
 	return fmt.Sprintf("%d requests: first engine %.3f, of long prefixes %.3f, beyond the fifth %.3f; of %d thousand tokens read %.3f, again %.4f, moved %.3f; over the bound %.4f, worst %.2f; late %.4f, first token p50 %.0f p99 %.0f ms; declined %d, refused %d",
 		f.requests, f.share(f.first), float64(f.longFirst)/float64(max(1, f.long)), f.share(f.beyondFifth), f.tokens/1000, float64(f.read)/float64(max(1, f.tokens)),
-		float64(f.readAgain)/float64(max(1, f.tokens)), float64(f.moved)/float64(max(1, f.tokens)),
-		f.share(f.over), f.worst, f.share(f.late), f.wait(0.5), f.wait(0.99), f.declined, f.refused)
+		float64(f.readAgain)/float64(max(1, f.tokens)), float64(f.copied)/float64(max(1, f.tokens)),
+		f.share(f.overBound), f.worst, f.share(f.late), f.wait(0.5), f.wait(0.99), f.declined, f.refused)
 }
 
-func newSimFleet(l load, seed uint64) *simFleet {
+func newSimFleet(l fleetLoad, seed uint64) *simFleet {
 	f := &simFleet{
 		load: l, random: rand.New(rand.NewPCG(seed, 1)), now: start, began: start,
 		byAddr: map[string]*simEngine{}, calls: map[ident.Request]simRequest{}, sizes: map[string]int{},
@@ -251,7 +248,7 @@
 func (f *simFleet) addEngine() *simEngine {
 	i := f.added
 	f.added++
-	e := &simEngine{kept: map[string]keptPart{}, most: cmp.Or(f.load.keptTokens, hallsTokens), worker: registry.Worker{
+	e := &simEngine{cache: map[string]cachedPart{}, maxTokens: cmp.Or(f.load.cacheTokens, defaultCacheTokens), worker: registry.Worker{
 		ID: ident.Target(fmt.Sprintf("e-%04x", i*7919)), Pool: "engines", Zone: ident.Zone(fmt.Sprint("z", i%f.load.zones)),
 		Address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Slots: engineSlots, Seq: 1,
 	}}
@@ -261,11 +258,11 @@
 	return e
 }
 
-// warm is how long engines read prefixes before counting begins.
+// warm is how long engines fill their caches before recording begins.
 const warm = 5 * time.Second
 
-// run lets time pass and counts for a while.
-func (f *simFleet) run(counted time.Duration) figures {
+// run advances time and records results for a while.
+func (f *simFleet) run(counted time.Duration) fleetResults {
 	f.from = f.now.Add(warm)
 	nextReport, nextReplaced := f.now, f.now.Add(warm)
 	for end := f.from.Add(counted); f.now.Before(end); f.now = f.now.Add(simStep) {
@@ -273,21 +270,21 @@
 			nextReport = f.now.Add(reportEvery)
 			f.report()
 		}
-		if f.load.replacedEach > 0 && !f.now.Before(nextReplaced) {
-			nextReplaced = f.now.Add(f.load.replacedEach)
+		if f.load.replaceInterval > 0 && !f.now.Before(nextReplaced) {
+			nextReplaced = f.now.Add(f.load.replaceInterval)
 			f.replaceEngine()
 		}
 		f.deliverReports()
 		f.drainZone()
 		f.arrivals()
 		for _, e := range f.engines {
-			f.work(e)
+			f.step(e)
 		}
 	}
-	return f.figures
+	return f.results
 }
 
-// drainZone drains the load's zone at the time for it; all hosts learn of that at once.
+// drainZone drains the load's zone when it is due; all hosts learn of it at once.
 func (f *simFleet) drainZone() {
 	if f.load.drained == "" || f.now.Sub(f.began) != f.load.hotFrom {
 		return
@@ -298,13 +295,13 @@
 	}
 }
 
-// surging tells whether the load's surge goes on.
+// surging reports whether the load's surge is in progress.
 func (f *simFleet) surging() bool {
 	at := f.now.Sub(f.began)
 	return at >= f.load.hotFrom && at < f.load.hotTo
 }
 
-// report notes the loads of all hosts, which they take reportAge later.
+// report records the loads of all hosts, which they receive reportAge later.
 func (f *simFleet) report() {
 	r := loadReport{asOf: f.now}
 	for _, h := range f.hosts {
@@ -312,15 +309,15 @@
 	}
 	r.total = loads.Sum(slices.Values(r.own))
 	if f.load.unreported {
-		r.total = withoutLending(r.total)
+		r.total = withBudgetSpent(r.total)
 	} else {
 		r.silent = f.silentWorkers()
 	}
 	f.reports = append(f.reports, r)
 }
 
-// deliverReports hands each host the reports that have become old enough, hosts one after
-// the other within the time between two reports.
+// deliverReports delivers reports that are old enough, to one host after the other within
+// reportEvery.
 func (f *simFleet) deliverReports() {
 	steps := int(reportEvery / simStep)
 	for i := range f.hosts {
@@ -335,7 +332,7 @@
 	f.reports = slices.DeleteFunc(f.reports, func(r loadReport) bool { return f.now.Sub(r.asOf) > 2*f.load.reportAge+time.Second })
 }
 
-// silentWorkers are those that hosts have found replaced, as replicas then report them.
+// silentWorkers returns the workers that hosts have found replaced, as replicas report them.
 func (f *simFleet) silentWorkers() []registry.Worker {
 	var out []registry.Worker
 	for _, h := range f.hosts {
@@ -349,31 +346,31 @@
 	return out
 }
 
-// withoutLending returns a report by which the fleet's budget is used up.
-func withoutLending(d loads.Digest) loads.Digest {
+// withBudgetSpent returns a report by which the fleet's retry budget is spent.
+func withBudgetSpent(d loads.Digest) loads.Digest {
 	c := d.Counts()
 	c[loads.TagOf("retries of engines")] = 1 << 19
 	return loads.Pack(c)
 }
 
-// feed gives a host an event and begins what it dispatches.
+// feed applies an event to a host and starts what it dispatches.
 func (f *simFleet) feed(host int, ev requests.Event) {
 	next, decisions := requests.Reduce(f.hosts[host], ev, f.now)
 	f.hosts[host] = next
 	for _, d := range decisions {
 		switch d := d.(type) {
 		case requests.Dispatch:
-			f.begin(host, d)
+			f.startJob(host, d)
 		case requests.Finish:
 			delete(f.calls, d.Request)
 			if d.Verdict.Code != requests.CodeOK && !f.now.Before(f.from) {
-				f.figures.refused++
+				f.results.refused++
 			}
 		}
 	}
 }
 
-// arrivals draws the requests of one step.
+// arrivals generates the requests of one step.
 func (f *simFleet) arrivals() {
 	for i := range f.load.kinds {
 		k := &f.load.kinds[i]
@@ -396,8 +393,8 @@
 	return n
 }
 
-// arrive draws a request of a kind, and the host that it comes to.
-func (f *simFleet) arrive(number int, k *kind) {
+// arrive generates a request of a kind at a random host.
+func (f *simFleet) arrive(number int, k *requestKind) {
 	subject := f.zipf(k.subjects)
 	if number == 0 && f.surging() && f.random.Float64() < f.load.hot {
 		subject = 0
@@ -422,7 +419,7 @@
 	f.feed(f.random.IntN(len(f.hosts)), requests.Arrived{Request: r})
 }
 
-// size is how many tokens a shared part has: the same each time.
+// size returns the number of tokens of a shared part, the same each time.
 func (f *simFleet) size(part string, mean int) int {
 	if n, ok := f.sizes[part]; ok {
 		return n
@@ -432,16 +429,16 @@
 	return n
 }
 
-// zipf draws one of n things, the first ones more often.
+// zipf draws one of n items, the first ones more often.
 func (f *simFleet) zipf(n int) int {
 	return min(n-1, int(float64(n)*math.Pow(f.random.Float64(), 1/(1-subjectSkew))))
 }
 
-// begin starts a request at the engine that its host chose.
-func (f *simFleet) begin(host int, d requests.Dispatch) {
+// startJob starts a request at the engine that its host chose.
+func (f *simFleet) startJob(host int, d requests.Dispatch) {
 	e, call := f.byAddr[d.Worker.Address], f.calls[d.Request]
 	if e.replaced && f.surging() {
-		f.figures.declined++
+		f.results.declined++
 		f.feed(host, requests.AttemptEnded{
 			Request: d.Request, Attempt: d.Attempt, Result: outcome.Declined{Leaving: true}, CallerWaiting: true,
 		})
@@ -451,12 +448,12 @@
 		id: d.Request, host: host, attempt: d.Attempt, kind: call.kind, route: d.Route.Name,
 		parts: call.request.Prompt.Parts, from: d.CacheFrom, left: float64(call.kind.tokensOut),
 	}
-	f.count(e, j, d)
+	f.record(e, j, d)
 	e.jobs = append(e.jobs, j)
 }
 
-// count takes a dispatch into the figures.
-func (f *simFleet) count(e *simEngine, j *job, d requests.Dispatch) {
+// record adds a dispatch to the results.
+func (f *simFleet) record(e *simEngine, j *job, d requests.Dispatch) {
 	total, engines := 0, 0
 	for _, other := range f.engines {
 		if !other.leaving {
@@ -464,12 +461,12 @@
 			engines++
 		}
 	}
-	own, shared, moved, again := f.toRead(e, j)
+	own, shared, moved, again := f.planRead(e, j)
 	j.unread = float64(own + shared)
 	if f.now.Before(f.from) {
 		return
 	}
-	g := &f.figures
+	g := &f.results
 	g.requests++
 	if d.Inputs.Position == 0 {
 		g.first++
@@ -487,28 +484,28 @@
 		g.tokens += p.Tokens
 	}
 	g.read += own + shared
-	g.moved += moved
+	g.copied += moved
 	g.readAgain += again
 	promised := requests.DefaultLoadFactor*float64(total)/float64(engines) + promisedSlack
 	if float64(len(e.jobs)) > promised {
-		g.over++
+		g.overBound++
 	}
 	g.worst = max(g.worst, float64(len(e.jobs)+1)/promised)
 }
 
-// promisedSlack is how many requests an engine may have beyond the multiple of the mean.
+// promisedSlack is the number of requests allowed beyond the multiple of the mean.
 const promisedSlack = 3
 
-// toRead is what an engine must read of a prompt: tokens of the request's own and of shared
-// parts; moved are shared tokens taken over, again those read though another engine keeps
-// them.
-func (f *simFleet) toRead(e *simEngine, j *job) (own, shared, moved, again int) {
+// planRead returns the tokens that an engine must read of a prompt: of the request's own part and
+// of shared parts. copied are shared tokens copied from the cache source, again those read
+// although another engine has them cached.
+func (f *simFleet) planRead(e *simEngine, j *job) (own, shared, moved, again int) {
 	source := f.byAddr[j.from]
 	holds := func(e *simEngine, part string) bool {
 		if e == nil {
 			return false
 		}
-		_, ok := e.kept[part]
+		_, ok := e.cache[part]
 		return ok
 	}
 	here, there := true, true
@@ -523,45 +520,45 @@
 			moved += p.Tokens
 		default:
 			shared += p.Tokens
-			if f.keptElsewhere(e, p.ID) {
+			if f.cachedElsewhere(e, p.ID) {
 				again += p.Tokens
 			}
 		}
 	}
 	for _, p := range j.parts[:len(j.parts)-1] {
-		e.keep(p, f.now)
+		e.cachePart(p, f.now)
 	}
 	return own, shared, moved, again
 }
 
-// keptElsewhere tells whether another engine has used a part recently.
-func (f *simFleet) keptElsewhere(but *simEngine, part string) bool {
+// cachedElsewhere reports whether another engine has used a part recently.
+func (f *simFleet) cachedElsewhere(but *simEngine, part string) bool {
 	return slices.ContainsFunc(f.engines, func(e *simEngine) bool {
-		k, ok := e.kept[part]
+		k, ok := e.cache[part]
 		return e != but && ok && f.now.Sub(k.used) < readAgainWithin
 	})
 }
 
-// keep notes that an engine keeps a part; the parts unused longest give way.
-func (e *simEngine) keep(p requests.Part, now time.Time) {
-	if _, ok := e.kept[p.ID]; !ok {
+// cachePart adds a part to an engine's cache and evicts the least recently used ones.
+func (e *simEngine) cachePart(p requests.Part, now time.Time) {
+	if _, ok := e.cache[p.ID]; !ok {
 		e.tokens += p.Tokens
 	}
-	e.kept[p.ID] = keptPart{p.Tokens, now}
-	for e.tokens > e.most {
+	e.cache[p.ID] = cachedPart{p.Tokens, now}
+	for e.tokens > e.maxTokens {
 		oldest := ""
-		for id, k := range e.kept {
-			if oldest == "" || k.used.Before(e.kept[oldest].used) || k.used.Equal(e.kept[oldest].used) && id < oldest {
+		for id, k := range e.cache {
+			if oldest == "" || k.used.Before(e.cache[oldest].used) || k.used.Equal(e.cache[oldest].used) && id < oldest {
 				oldest = id
 			}
 		}
-		e.tokens -= e.kept[oldest].tokens
-		delete(e.kept, oldest)
+		e.tokens -= e.cache[oldest].tokens
+		delete(e.cache, oldest)
 	}
 }
 
-// work lets an engine read and make tokens for one step.
-func (f *simFleet) work(e *simEngine) {
+// step lets an engine read and generate tokens for one step.
+func (f *simFleet) step(e *simEngine) {
 	ms := float64(simStep) / float64(time.Millisecond)
 	budget := readPerMs * ms
 	made := ms / (stepMs + stepMsEach*float64(len(e.jobs)))
@@ -588,7 +585,7 @@
 	}
 }
 
-// answerBegins tells a host that the first token has come.
+// answerBegins reports the first token to its host.
 func (f *simFleet) answerBegins(e *simEngine, j *job) {
 	took := f.now.Sub(f.calls[j.id].arrived)
 	f.feed(j.host, requests.HeaderReceived{
@@ -597,13 +594,13 @@
 	if f.now.Before(f.from) {
 		return
 	}
-	f.figures.waits = append(f.figures.waits, float64(took)/float64(time.Millisecond))
+	f.results.waits = append(f.results.waits, float64(took)/float64(time.Millisecond))
 	if took > j.kind.objective {
-		f.figures.late++
+		f.results.late++
 	}
 }
 
-// replaceEngine has a new engine join and the oldest one leave; all hosts know at once.
+// replaceEngine has a new engine join and the oldest one leave; all hosts learn of it at once.
 func (f *simFleet) replaceEngine() {
 	old := f.engines[slices.IndexFunc(f.engines, func(e *simEngine) bool { return !e.leaving })]
 	old.leaving = true
--- a/core/requests/notice_test.go
+++ b/core/requests/notice_test.go
@@ -16,38 +16,31 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// decliningEngines are engines that decline all that they get within a time, and ask each time for
-// a backoff.
+// decliningEngines simulates engines that decline everything for some time and request a backoff
+// with each decline.
 type decliningEngines struct {
 	ids      map[ident.Target]bool
 	from, to time.Time
 	backoff  time.Duration
-	// until is when each one wants something again, tooEarly counts what came before.
-	until    map[ident.Target]time.Time
-	tooEarly map[ident.Target]int
+	// backoffUntil is the end of each engine's backoff; tooEarly counts the requests before it.
+	backoffUntil map[ident.Target]time.Time
+	tooEarly     map[ident.Target]int
 }
 
-// take is what becomes of an attempt at now: what the worker says of itself, and the result.
-func (e *decliningEngines) take(id ident.Target, now time.Time) (requests.Notice, outcome.Attempt) {
-	if now.Before(e.until[id]) {
+// answer returns how an engine answers an attempt, and the attempt's result.
+func (e *decliningEngines) answer(id ident.Target, now time.Time) (requests.Notice, outcome.Attempt) {
+	if now.Before(e.backoffUntil[id]) {
 		e.tooEarly[id]++
 	}
 	if !e.ids[id] || now.Before(e.from) || !now.Before(e.to) {
 		return requests.Notice{}, outcome.Answered{Status: 200}
 	}
-	e.until[id] = now.Add(e.backoff)
+	e.backoffUntil[id] = now.Add(e.backoff)
 	return requests.Notice{Backoff: e.backoff}, outcome.Declined{Reason: "full", RetryAfter: e.backoff}
 }
 
-// TestWorkersThatBackOffGetNothing tells of three engines of nine, one a zone, that
-// declined all that they got for nine seconds and asked each host for 3 s without requests.
-// Hosts sent them 5 and 7 requests within such a time, and refused a third of their callers.
-//
-// A host passed over a worker that declined for a time of its own, 0.2 s, and did not read for
-// how long the worker wanted nothing. An engine that declines everything has no requests, so
-// that it then looked like the least loaded one; and where a route allows one worker only, the
-// same request went to the same engine up to three times more. Lines of both kinds of attempts,
-// with what the engine had asked for before, proved that.
+// TestWorkersThatBackOffGetNothing guards against requests to an engine within its backoff: one
+// that declines everything has no load, so it would look like the least loaded one.
 func TestWorkersThatBackOffGetNothing(t *testing.T) {
 	g := table()
 	for i := range g.Routes {
@@ -59,7 +52,7 @@
 	engines := &decliningEngines{
 		ids:  map[ident.Target]bool{"engines-0": true, "engines-4": true, "engines-8": true},
 		from: start.Add(2 * time.Second), to: start.Add(11 * time.Second), backoff: 3 * time.Second,
-		until: map[ident.Target]time.Time{}, tooEarly: map[ident.Target]int{},
+		backoffUntil: map[ident.Target]time.Time{}, tooEarly: map[ident.Target]int{},
 	}
 	refused := 0
 	now := start
@@ -80,7 +73,7 @@
 			if !ok {
 				break
 			}
-			notice, result := engines.take(sent.Worker.ID, at)
+			notice, result := engines.answer(sent.Worker.ID, at)
 			s, _ = requests.Reduce(s, requests.HeaderReceived{
 				Request: sent.Request, Attempt: sent.Attempt, Worker: sent.Worker.ID, Notice: notice, Route: sent.Route.Name, Took: 20 * time.Millisecond,
 			}, at)
@@ -92,37 +85,38 @@
 			refused++
 		}
 	}
-	require.Empty(t, engines.tooEarly, "requests to engines that wanted nothing")
-	// Nine seconds hold three times of 3 s; each of three engines declines once in each.
+	require.Empty(t, engines.tooEarly, "requests to engines within their backoff")
+	// Nine seconds hold three backoffs of 3 s; each of three engines declines once per backoff.
 	require.LessOrEqual(t, refused, 3*3)
 }
 
-// noticed feeds the header of an answer to an attempt, with what its worker says of itself.
-func noticed(s requests.State, d requests.Dispatch, n requests.Notice, now time.Time) requests.State {
+// withNotice applies the response header of an attempt, with what its worker reports about
+// itself.
+func withNotice(s requests.State, d requests.Dispatch, n requests.Notice, now time.Time) requests.State {
 	s, _ = requests.Reduce(s, requests.HeaderReceived{Request: d.Request, Attempt: d.Attempt, Worker: d.Worker.ID, Notice: n, Route: d.Route.Name}, now)
 	return s
 }
 
-// turnAway has the worker of an attempt decline it and ask for a pause.
-func turnAway(t *testing.T, s requests.State, d requests.Dispatch, backoff time.Duration, now time.Time) (requests.State, requests.Decision) {
+// declineWithBackoff has the worker of an attempt decline it and request a backoff.
+func declineWithBackoff(t *testing.T, s requests.State, d requests.Dispatch, backoff time.Duration, now time.Time) (requests.State, requests.Decision) {
 	t.Helper()
-	return decline(t, noticed(s, d, requests.Notice{Backoff: backoff}, now), d, now)
+	return decline(t, withNotice(s, d, requests.Notice{Backoff: backoff}, now), d, now)
 }
 
-// turnAllAway has three workers decline one request each and ask for 1, 2 and 3 s; only the
-// callers of those whose service has other workers come back at once.
-func turnAllAway(t *testing.T, path string) requests.State {
+// declineAllWithBackoff has three workers decline one request each and request backoffs of 1, 2
+// and 3 s; only callers whose service has other workers may return at once.
+func declineAllWithBackoff(t *testing.T, path string) requests.State {
 	t.Helper()
 	s := withObjective()
 	for n := range 3 {
 		next, d := arrive(t, s, request(fmt.Sprint("r-", n), path), start)
-		after, end := turnAway(t, next, d.(requests.Dispatch), time.Duration(n+1)*time.Second, start)
+		after, end := declineWithBackoff(t, next, d.(requests.Dispatch), time.Duration(n+1)*time.Second, start)
 		v := end.(requests.Finish).Verdict
 		require.Equal(t, outcome.NotRun, v.Outcome)
 		if n < 2 {
 			require.LessOrEqual(t, v.RetryAfter, 50*time.Millisecond, "others are available")
 		} else {
-			require.GreaterOrEqual(t, v.RetryAfter, time.Second, "the first one takes requests after a second")
+			require.GreaterOrEqual(t, v.RetryAfter, time.Second, "the first backoff ends after a second")
 		}
 		s = after
 	}
@@ -131,7 +125,7 @@
 
 func TestRequestIsRefusedAtOnceWhereAllWorkersBackOff(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/once/x", "/resumable/x"} {
-		s := turnAllAway(t, path)
+		s := declineAllWithBackoff(t, path)
 		s, d := arrive(t, s, request("refused", path), start.Add(600*time.Millisecond))
 		v := d.(requests.Finish).Verdict
 		require.Equal(t, requests.CodeOverloaded, v.Code)
@@ -143,10 +137,10 @@
 	}
 }
 
-// TestMostUrgentCallersReturnFirst refuses the requests of an account of rank 4 and of a public
-// route of rank 0.
+// TestMostUrgentCallersReturnFirst guards against callers of low priority returning first after
+// backoffs.
 func TestMostUrgentCallersReturnFirst(t *testing.T) {
-	s := turnAllAway(t, "/safe/x")
+	s := declineAllWithBackoff(t, "/safe/x")
 	for i := range 20 {
 		_, d := arrive(t, s, request(fmt.Sprint("ranked-", i), "/safe/x"), start)
 		r := request(fmt.Sprint("urgent-", i), "/safe/deeper/x")
@@ -156,17 +150,16 @@
 	}
 }
 
-// TestRequestGoesToNoOtherWorkerThatBacksOff ends an attempt where the workers left want
-// nothing. The caller comes back before they want something, as the worker that failed may take
-// the request by then.
-func TestRequestGoesToNoOtherWorkerThatBacksOff(t *testing.T) {
+// TestRetrySkipsWorkersWithABackoff guards against retries to workers with a backoff. The caller
+// may return before it ends, as the worker that failed may take the request by then.
+func TestRetrySkipsWorkersWithABackoff(t *testing.T) {
 	results := []outcome.Attempt{outcome.Declined{Reason: "full"}, outcome.NeverSent{Reason: "refused", ConnectRefused: true}}
 	for _, result := range results {
 		s := ready(3)
 		for n := range 2 {
 			next, d := arrive(t, s, request(fmt.Sprint("r-", n), "/unsafe/x"), start)
 			sent := d.(requests.Dispatch)
-			next = noticed(next, sent, requests.Notice{Backoff: time.Second}, start)
+			next = withNotice(next, sent, requests.Notice{Backoff: time.Second}, start)
 			s, _ = requests.Reduce(next, requests.AttemptEnded{Request: sent.Request, Attempt: sent.Attempt, Result: outcome.Declined{}, CallerWaiting: false}, start)
 		}
 		s, d := arrive(t, s, request("last", "/unsafe/x"), start)
@@ -180,13 +173,13 @@
 	}
 }
 
-// TestReluctantWorkerIsALastResort has one of two workers, and then both, say that they get too
-// many requests.
-func TestReluctantWorkerIsALastResort(t *testing.T) {
+// TestWorkerWithSoftBackoffIsALastResort guards against preferring a worker that answered 429,
+// and against excluding it when there is no other.
+func TestWorkerWithSoftBackoffIsALastResort(t *testing.T) {
 	s := ready(2)
 	s, d := arrive(t, s, request("first", "/unsafe/x"), start)
 	reluctant := d.(requests.Dispatch)
-	s = noticed(s, reluctant, requests.Notice{SoftBackoff: 2 * time.Second}, start)
+	s = withNotice(s, reluctant, requests.Notice{SoftBackoff: 2 * time.Second}, start)
 	s, d = decline(t, s, reluctant, start)
 	other := d.(requests.Dispatch)
 	require.NotEqual(t, reluctant.Worker.ID, other.Worker.ID)
@@ -195,16 +188,15 @@
 		_, d = arrive(t, s, request(fmt.Sprint("r-", i), "/unsafe/x"), later)
 		require.Equal(t, other.Worker.ID, d.(requests.Dispatch).Worker.ID)
 	}
-	s = noticed(s, other, requests.Notice{SoftBackoff: 2 * time.Second}, start)
+	s = withNotice(s, other, requests.Notice{SoftBackoff: 2 * time.Second}, start)
 	_, d = arrive(t, s, request("last", "/unsafe/x"), later)
 	require.IsType(t, requests.Dispatch{}, d)
 	require.True(t, d.(requests.Dispatch).Inputs.LastResort)
 }
 
-// TestWorkerThatSaysItLeavesGetsNothingNew has one of two workers say with an answer that it
-// leaves, while replicas go on reporting it as ready. New requests, requests whose first worker
-// failed them, and those that have no other worker go elsewhere or are refused.
-func TestWorkerThatSaysItLeavesGetsNothingNew(t *testing.T) {
+// TestWorkerThatReportsLeavingGetsNothingNew guards against requests to a worker that reported
+// that it is leaving while replicas still report it as ready.
+func TestWorkerThatReportsLeavingGetsNothingNew(t *testing.T) {
 	ends := map[string]outcome.Attempt{
 		"declined": outcome.Declined{Reason: "full"}, "never sent": outcome.NeverSent{Reason: "refused"},
 		"broken": outcome.Interrupted{Reason: "reset"}, "failed": outcome.Answered{Status: 500}, "answered": outcome.Answered{Status: 200},
@@ -215,7 +207,7 @@
 				s := ready(2)
 				s, d := arrive(t, s, request("first", path), start)
 				leaving := d.(requests.Dispatch)
-				s = noticed(s, leaving, requests.Notice{Leaving: true}, start)
+				s = withNotice(s, leaving, requests.Notice{Leaving: true}, start)
 				s, _ = requests.Reduce(s, requests.AttemptEnded{Request: "first", Attempt: 1, Result: end, CallerWaiting: false}, start)
 				now := start.Add(300 * time.Millisecond)
 				s = confirmedAt(s, now)
@@ -231,7 +223,8 @@
 	}
 }
 
-// requireNever ends the attempts of a request until it ends, none of them at a worker.
+// requireNever ends the attempts of a request until it ends, and requires that none is at a given
+// worker.
 func requireNever(t *testing.T, s requests.State, d requests.Decision, id ident.Target, end outcome.Attempt, now time.Time) {
 	t.Helper()
 	for range 10 {
@@ -251,7 +244,7 @@
 	require.Fail(t, "the request never ends")
 }
 
-// lastOf is the decision on a request among others on its worker.
+// lastOf returns the decision on a request among those on its worker.
 func lastOf(t *testing.T, decisions []requests.Decision) requests.Decision {
 	t.Helper()
 	for _, d := range decisions {
@@ -264,12 +257,13 @@
 	return nil
 }
 
-// TestOnlyWorkerThatLeavesRefusesAtOnce and takes requests again as another process.
-func TestOnlyWorkerThatLeavesRefusesAtOnce(t *testing.T) {
+// TestRequestIsRefusedWhenTheOnlyWorkerLeaves guards against late heartbeats that make the worker
+// available again, and against excluding its next process.
+func TestRequestIsRefusedWhenTheOnlyWorkerLeaves(t *testing.T) {
 	s := ready(1)
 	s, d := arrive(t, s, request("first", "/unsafe/x"), start)
 	leaving := d.(requests.Dispatch)
-	s = noticed(s, leaving, requests.Notice{Leaving: true}, start)
+	s = withNotice(s, leaving, requests.Notice{Leaving: true}, start)
 	_, d = arrive(t, s, request("second", "/unsafe/x"), start)
 	require.Equal(t, outcome.NotRun, d.(requests.Finish).Verdict.Outcome)
 
@@ -282,33 +276,31 @@
 	late.Seq = 3
 	s, _ = requests.Reduce(s, requests.Registered{From: "r", Workers: []registry.Worker{late}}, later)
 	_, d = arrive(t, s, request("third", "/unsafe/x"), later)
-	require.IsType(t, requests.Finish{}, d, "a late heartbeat brings nobody back")
+	require.IsType(t, requests.Finish{}, d, "a late heartbeat does not make the worker available")
 
 	s = ready(0)
 	first := workers("plain", 1)[0]
 	first.Born = 5
 	s, _ = requests.Reduce(s, requests.Registered{From: "r", Workers: []registry.Worker{first}}, start)
 	s, d = arrive(t, s, request("first", "/unsafe/x"), start)
-	s = noticed(s, d.(requests.Dispatch), requests.Notice{Leaving: true}, start)
+	s = withNotice(s, d.(requests.Dispatch), requests.Notice{Leaving: true}, start)
 	first.Born, first.Seq = 6, 2
 	s, _ = requests.Reduce(s, requests.Registered{From: "r", Workers: []registry.Worker{first}}, start)
 	s, d = arrive(t, s, request("fourth", "/unsafe/x"), start)
 	require.IsType(t, requests.Dispatch{}, d, "another process takes requests")
-	s = noticed(s, requests.Dispatch{Request: "first", Attempt: 1, Worker: first}, requests.Notice{Leaving: true}, start)
+	s = withNotice(s, requests.Dispatch{Request: "first", Attempt: 1, Worker: first}, requests.Notice{Leaving: true}, start)
 	_, d = arrive(t, s, request("fifth", "/unsafe/x"), start)
-	require.IsType(t, requests.Dispatch{}, d, "what the earlier process said is not its successor's")
+	require.IsType(t, requests.Dispatch{}, d, "the notice of the earlier process does not apply to its successor")
 }
 
-// TestBackoffOfAProcessThatIsNotRegisteredYet has a worker end and start again under its id, and its
-// new process ask for a backoff before any registration tells of it. Four soaks of fifty saw up to
-// thirty requests within such a backoff: the registration ended what was taken for the wish of the
-// earlier process, though the host's own lines show that the new one had asked.
+// TestBackoffOfAProcessThatIsNotRegisteredYet guards against a late registration of a restarted
+// worker clearing the backoff that its new process has already requested.
 func TestBackoffOfAProcessThatIsNotRegisteredYet(t *testing.T) {
 	w := workers("plain", 1)[0]
 	w.Born = 5
 	s, _ := requests.Reduce(ready(0), requests.Registered{From: "r", Workers: []registry.Worker{w}}, start)
 	s, d := arrive(t, s, request("1", "/unsafe/x"), start)
-	s, _ = turnAway(t, s, d.(requests.Dispatch), 10*time.Second, start)
+	s, _ = declineWithBackoff(t, s, d.(requests.Dispatch), 10*time.Second, start)
 	w.Born, w.Seq = 6, 1
 	restarted := func(after time.Duration) requests.Decision {
 		now := start.Add(after)
@@ -317,5 +309,5 @@
 		return d
 	}
 	require.IsType(t, requests.Finish{}, restarted(time.Second))
-	require.IsType(t, requests.Dispatch{}, restarted(7*time.Second), "asked for by the earlier process")
+	require.IsType(t, requests.Dispatch{}, restarted(7*time.Second), "requested by the earlier process")
 }
--- a/core/requests/plainfleet_test.go
+++ b/core/requests/plainfleet_test.go
@@ -21,45 +21,44 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// plainLoad is many small hosts before the scarcest pool that users run: three plain workers
-// of six slots, one a zone, whose work takes 30 ms, so that a count that is half a second old
-// says nothing of the slots in use now. Requests come in waves, out of phase between zones.
+// plainLoad describes many small hosts and a pool of three plain workers, one per zone, with few
+// slots and short work, so that load reports are too old to show the slots in use. Traffic varies
+// in waves, out of phase between zones.
 type plainLoad struct {
 	hosts     int
 	perSecond float64
-	// down is a worker that is away from downFrom on; -1 for none.
+	// down is a worker that fails at downFrom; -1 for none.
 	down     int
 	downFrom time.Duration
 }
 
-// Times and sizes of the plain workers, as on the users' sheet: slots, queue, work, aim, and
-// how deep and long the waves are.
+// Slots, queue length, work and objective of the plain workers, depth and period of the waves,
+// age of reports, and step of the simulation.
 const (
-	plainSlots  = 6
-	plainQueue  = 6
-	plainWork   = 30 * time.Millisecond
-	plainAim    = 150 * time.Millisecond
-	plainSwing  = 0.27
-	plainPeriod = 11 * time.Second
-	plainAge    = 450 * time.Millisecond
-	plainStep   = 2 * time.Millisecond
+	plainSlots     = 6
+	plainQueue     = 6
+	plainWork      = 30 * time.Millisecond
+	plainObjective = 150 * time.Millisecond
+	plainSwing     = 0.27
+	plainPeriod    = 11 * time.Second
+	plainAge       = 450 * time.Millisecond
+	plainStep      = 2 * time.Millisecond
 )
 
-// plainFigures are what callers got.
-type plainFigures struct{ requests, inAim, late, declined, refused int }
+// plainResults are the results of a simulation.
+type plainResults struct{ requests, inTime, late, declined, refused int }
 
-// String returns the figures as shares.
-func (f plainFigures) String() string {
+func (f plainResults) String() string {
 	share := func(n int) float64 { return float64(n) / float64(max(1, f.requests)) }
 	return fmt.Sprintf("%d requests: in aim %.4f, late %.4f, declined %.4f, refused %.4f",
-		f.requests, share(f.inAim), share(f.late), share(f.declined), share(f.refused))
+		f.requests, share(f.inTime), share(f.late), share(f.declined), share(f.refused))
 }
 
 type plainJob struct {
 	request requests.Request
 	host    int
 	attempt int
-	// pausing is set while the request is at no worker.
+	// pausing is set during a pause, while the request is at no worker.
 	pausing bool
 	arrived time.Time
 	ends    time.Time
@@ -74,15 +73,15 @@
 	queued  [3][]plainJob
 	arrived map[ident.Request]time.Time
 	reports []loadReport
-	figures plainFigures
-	later   []plainJob
+	results plainResults
+	pending []plainJob
 }
 
 func newPlainFleet(l plainLoad, seed uint64) *plainFleet {
 	f := &plainFleet{load: l, random: rand.New(rand.NewPCG(seed, 3)), now: start, arrived: map[ident.Request]time.Time{}}
 	t := config.RouteTable{Number: 1, Pools: []config.Pool{{ID: "plain"}}, Routes: []config.Route{{
 		Name: "confirm", Host: "a.example", Prefix: "/confirm/", Kind: config.RouteUnsafe, Public: true,
-		Timeout: config.Duration(time.Second), Objective: config.Duration(plainAim), MaxAttempts: 2,
+		Timeout: config.Duration(time.Second), Objective: config.Duration(plainObjective), MaxAttempts: 2,
 		Shares: []config.Share{{Pool: "plain", Weight: 1}},
 	}}}
 	for i := range l.hosts {
@@ -102,8 +101,7 @@
 
 func plainID(w int) ident.Target { return ident.Target(fmt.Sprint("plain-", w)) }
 
-// run lets time pass.
-func (f *plainFleet) run(d time.Duration) plainFigures {
+func (f *plainFleet) run(d time.Duration) plainResults {
 	begun, report := f.now, f.now
 	for ; f.now.Sub(begun) < d; f.now = f.now.Add(plainStep) {
 		if !f.now.Before(report) {
@@ -111,7 +109,7 @@
 			f.report()
 		}
 		f.deliver()
-		f.sendLater()
+		f.sendPending()
 		for zone := range 3 {
 			phase := float64(f.now.Sub(begun))/float64(plainPeriod) + float64(zone)/3
 			rate := f.load.perSecond / 3 * (1 + plainSwing*math.Sin(2*math.Pi*phase))
@@ -123,7 +121,7 @@
 			f.work(w, f.load.down == w && f.now.Sub(begun) >= f.load.downFrom)
 		}
 	}
-	return f.figures
+	return f.results
 }
 
 func (f *plainFleet) report() {
@@ -152,7 +150,7 @@
 	r := requests.Request{
 		ID: ident.Request(fmt.Sprintf("%016x", f.random.Uint64())), Host: "a.example", Path: "/confirm/x", Deadline: f.now.Add(time.Second),
 	}
-	f.figures.requests++
+	f.results.requests++
 	f.arrived[r.ID] = f.now
 	f.feed(zone+3*f.random.IntN(f.load.hosts/3), requests.Arrived{Request: r})
 }
@@ -163,26 +161,26 @@
 	for _, d := range decisions {
 		switch d := d.(type) {
 		case requests.Dispatch:
-			f.later = append(f.later, plainJob{
+			f.pending = append(f.pending, plainJob{
 				request: requests.Request{ID: d.Request, Path: string(d.Worker.ID)}, host: host, attempt: d.Attempt, ends: f.now,
 			})
 		case requests.Pause:
-			f.later = append(f.later, plainJob{request: requests.Request{ID: d.Request}, host: host, pausing: true, ends: f.now.Add(d.For)})
+			f.pending = append(f.pending, plainJob{request: requests.Request{ID: d.Request}, host: host, pausing: true, ends: f.now.Add(d.For)})
 		case requests.Finish:
 			if d.Verdict.Code != requests.CodeOK {
-				f.figures.refused++
+				f.results.refused++
 			}
 		}
 	}
 }
 
-// sendLater brings requests to their workers once their pause is over.
-func (f *plainFleet) sendLater() {
-	due := f.later
-	f.later = nil
+// sendPending delivers requests to their workers once their pause is over.
+func (f *plainFleet) sendPending() {
+	due := f.pending
+	f.pending = nil
 	for _, j := range due {
 		if j.ends.After(f.now) {
-			f.later = append(f.later, j)
+			f.pending = append(f.pending, j)
 			continue
 		}
 		if j.pausing {
@@ -199,13 +197,14 @@
 		case len(f.queued[w]) < plainQueue:
 			f.queued[w] = append(f.queued[w], j)
 		default:
-			f.figures.declined++
+			f.results.declined++
 			f.feed(j.host, requests.AttemptEnded{Request: j.request.ID, Attempt: j.attempt, Result: outcome.Declined{Reason: "full"}, CallerWaiting: true})
 		}
 	}
 }
 
-// work lets a worker end what is due, and begin what waits; one that is away breaks all off.
+// work ends requests that are due and starts queued ones; a failed worker loses all of its
+// requests.
 func (f *plainFleet) work(w int, down bool) {
 	if down {
 		lost := slices.Concat(f.running[w], f.queued[w])
@@ -223,10 +222,10 @@
 			left = append(left, j)
 			continue
 		}
-		if f.now.Sub(j.arrived) <= plainAim {
-			f.figures.inAim++
+		if f.now.Sub(j.arrived) <= plainObjective {
+			f.results.inTime++
 		} else {
-			f.figures.late++
+			f.results.late++
 		}
 		f.feed(j.host, requests.AttemptEnded{Request: j.request.ID, Attempt: j.attempt, Result: outcome.Answered{Status: 200}, CallerWaiting: true})
 	}
@@ -239,10 +238,9 @@
 	}
 }
 
-// TestScarcePlainWorkers sends the users' 178 requests a second, and half as many more, to
-// three workers, and to two while the third is away. Two workers do 400 a second, so that all
-// can be served; hosts that all take the worker with the lowest count, half a second old, have
-// up to 0.12 of the requests declined and 0.02 refused.
+// TestScarcePlainWorkers guards against hosts overloading the least loaded worker together:
+// nearly all requests must be served in time although reports are half a second old and a worker
+// may fail.
 func TestScarcePlainWorkers(t *testing.T) {
 	t.Parallel()
 	for _, l := range []plainLoad{
@@ -256,7 +254,7 @@
 		for seed := range uint64(2) {
 			f := newPlainFleet(l, seed).run(12 * time.Second)
 			t.Logf("%+v: %s", l, f)
-			require.Greater(t, float64(f.inAim), 0.99*float64(f.requests))
+			require.Greater(t, float64(f.inTime), 0.99*float64(f.requests))
 			require.Less(t, float64(f.declined), 0.01*float64(f.requests))
 			require.Zero(t, f.refused)
 		}
--- a/core/requests/requests.go
+++ b/core/requests/requests.go
@@ -145,8 +145,8 @@
 	// nothing at all is sent to each of them.
 	drainedZones  zones.Drained
 	drainClosesAt table.Table[ident.Zone, time.Time]
-	// hostCount is how many entry hosts share the fleet's retry budget; hostCountKnown is set
-	// once it was reported.
+	// hostCount is the number of entry hosts; hostCountKnown is set once a replica has reported
+	// it.
 	hostCount      int
 	hostCountKnown bool
 	// closing is set late in a planned stop.
--- a/core/requests/resend_test.go
+++ b/core/requests/resend_test.go
@@ -19,7 +19,7 @@
 
 const objective = 150 * time.Millisecond
 
-// withObjective is a gateway whose routes have an objective and one worker a try.
+// withObjective returns a host whose routes have an objective and allow one worker per request.
 func withObjective() requests.State {
 	g := table()
 	for i := range g.Routes {
@@ -29,24 +29,23 @@
 	return ready(3).WithRouteTable(g)
 }
 
-// decline ends a try as declined and returns what follows.
+// decline ends an attempt as declined and returns the next decision.
 func decline(t *testing.T, s requests.State, d requests.Dispatch, now time.Time) (requests.State, requests.Decision) {
 	t.Helper()
 	s, decisions := requests.Reduce(s, requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: outcome.Declined{Reason: "full"}, CallerWaiting: true}, now)
 	return s, only(t, decisions)
 }
 
-// afterPause ends a request's pause and returns what follows.
+// afterPause ends a request's pause and returns the next decision.
 func afterPause(t *testing.T, s requests.State, id ident.Request, now time.Time) (requests.State, requests.Decision) {
 	t.Helper()
 	s, decisions := requests.Reduce(s, requests.PauseEnded{Request: id, CallerWaiting: true}, now)
 	return s, only(t, decisions)
 }
 
-// TestDeclinedRequestComesBackToItsWorker lets the only worker that a request may go
-// to decline again and again: it is sent there a few times after pauses, within its
-// objective, and is then promised not to have run.
-func TestDeclinedRequestComesBackToItsWorker(t *testing.T) {
+// TestDeclinedRequestIsResentToItsWorker guards against refusing at once, against endless resends
+// and against resends beyond the objective, if the only allowed worker keeps declining.
+func TestDeclinedRequestIsResentToItsWorker(t *testing.T) {
 	s := withObjective()
 	for i := range 40 {
 		s = answer(t, s, fmt.Sprint("learn-", i), "/unsafe/x", 20*time.Millisecond)
@@ -76,8 +75,8 @@
 	require.Fail(t, "the request never ends")
 }
 
-// TestDeclinedRequestIsRefusedAtOnceWhereItWouldBeLate has the worker decline when the
-// objective is nearly over, when it is leaving, and when the budget is used up.
+// TestDeclinedRequestIsRefusedAtOnceWhereItWouldBeLate guards against resends after the
+// objective, to a worker that is leaving, and beyond the retry budget.
 func TestDeclinedRequestIsRefusedAtOnceWhereItWouldBeLate(t *testing.T) {
 	s, d := arrive(t, withObjective(), request("1", "/unsafe/x"), start)
 	_, late := decline(t, s, d.(requests.Dispatch), start.Add(objective-time.Millisecond))
@@ -100,32 +99,29 @@
 	require.LessOrEqual(t, float64(resent), requests.RetryBudgetFraction*(requests.DefaultRetryExtra+requests.DefaultRetryShare*200))
 }
 
-// askForBackoff has a worker decline another request and ask for a pause.
-func askForBackoff(t *testing.T, s requests.State, id ident.Target, now time.Time) requests.State {
+// requestBackoff has a worker decline another request and request a backoff.
+func requestBackoff(t *testing.T, s requests.State, id ident.Target, now time.Time) requests.State {
 	t.Helper()
 	for i := range 1000 {
 		next, d := arrive(t, s, request(fmt.Sprint("other-", i), "/once/x"), now)
 		if sent := d.(requests.Dispatch); sent.Worker.ID == id {
-			return noticed(next, sent, requests.Notice{Backoff: time.Second}, now)
+			return withNotice(next, sent, requests.Notice{Backoff: time.Second}, now)
 		}
 	}
 	require.Fail(t, "the worker is never chosen")
 	return s
 }
 
-// TestWhatIsLearnedDuringAPauseCounts pauses a declined request, and lets its worker ask for a
-// backoff, leave, and its zone's time end meanwhile.
-//
-// The worker was chosen before the pause, and the request then sent whatever had been learned in
-// between: up to a second later, where a route's objective is long.
-func TestWhatIsLearnedDuringAPauseCounts(t *testing.T) {
+// TestChangesDuringAPausePreventTheResend guards against resending to a worker that requested a
+// backoff, reported that it is leaving, or whose zone was closed during the pause.
+func TestChangesDuringAPausePreventTheResend(t *testing.T) {
 	arrival := start.Add(requests.DefaultZoneDrain - 400*time.Millisecond)
 	end := arrival.Add(300 * time.Millisecond)
 	tests := map[string]struct {
 		before, during func(s requests.State, w registry.Worker) requests.State
 	}{
 		"it asks for a backoff": {during: func(s requests.State, w registry.Worker) requests.State {
-			return askForBackoff(t, s, w.ID, end.Add(-time.Millisecond))
+			return requestBackoff(t, s, w.ID, end.Add(-time.Millisecond))
 		}},
 		"it leaves": {during: func(s requests.State, w registry.Worker) requests.State {
 			w.State, w.Seq = registry.Draining, 2
@@ -157,8 +153,9 @@
 	}
 }
 
-// TestCallerThatLeavesDuringAPauseIsSentNowhere has the caller leave, and the deadline pass.
-func TestCallerThatLeavesDuringAPauseIsSentNowhere(t *testing.T) {
+// TestNoResendAfterTheCallerLeaves guards against a resend after the caller has left or the
+// deadline has passed.
+func TestNoResendAfterTheCallerLeaves(t *testing.T) {
 	s, d := arrive(t, withObjective(), request("1", "/once/x"), start)
 	s, _ = decline(t, s, d.(requests.Dispatch), start)
 	left, decisions := requests.Reduce(s, requests.PauseEnded{Request: "1"}, start)
@@ -170,9 +167,9 @@
 	require.True(t, late.Idle())
 }
 
-// TestPausingRequestIsAtNoWorker counts requests at workers while one pauses and its worker
-// starts again.
-func TestPausingRequestIsAtNoWorker(t *testing.T) {
+// TestPausedRequestIsNotInFlight guards against counting a paused request as in flight, or
+// aborting it when its worker restarts.
+func TestPausedRequestIsNotInFlight(t *testing.T) {
 	s, d := arrive(t, withObjective(), request("1", "/once/x"), start)
 	sent := d.(requests.Dispatch)
 	s, _ = decline(t, s, sent, start)
@@ -181,7 +178,7 @@
 	w.Seq, w.Born = 2, 7
 	s, decisions := requests.Reduce(s, requests.Registered{From: "r", Workers: []registry.Worker{w}}, start)
 	for _, decision := range decisions {
-		require.IsType(t, requests.WorkerChanged{}, decision, "nothing is to be broken off")
+		require.IsType(t, requests.WorkerChanged{}, decision, "no attempt is to be aborted")
 	}
 	s, d = afterPause(t, s, "1", start)
 	require.IsType(t, requests.Dispatch{}, d)
--- a/core/requests/restart_test.go
+++ b/core/requests/restart_test.go
@@ -17,35 +17,35 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// Starts of two processes of one worker.
+// Start times of two processes of one worker.
 const (
-	bornFirst  registry.Incarnation = 1_790_000_000_000
-	bornSecond                      = bornFirst + 60_000
+	firstStart  registry.Incarnation = 1_790_000_000_000
+	secondStart                      = firstStart + 60_000
 )
 
-// register tells the state of a worker as a replica knows it.
+// register applies a worker's registration.
 func register(s requests.State, w registry.Worker, now time.Time) (requests.State, []requests.Decision) {
 	return requests.Reduce(s, requests.Registered{From: "r", Workers: []registry.Worker{w}}, now)
 }
 
-// bornReady returns a gateway whose n workers of each pool say when they started.
-func bornReady(n int) requests.State {
+// readyWithStarts returns a host with n workers in each pool that report when they started.
+func readyWithStarts(n int) requests.State {
 	s := ready(n)
 	for _, pool := range []ident.Service{"plain", "engines"} {
 		for _, w := range workers(pool, n) {
-			w.Born = bornFirst
+			w.Born = firstStart
 			s, _ = register(s, w, start)
 		}
 	}
 	return s
 }
 
-func startedAgain(w registry.Worker) registry.Worker {
-	w.Born, w.Seq, w.State = bornSecond, 1, registry.Ready
+func restarted(w registry.Worker) registry.Worker {
+	w.Born, w.Seq, w.State = secondStart, 1, registry.Ready
 	return w
 }
 
-// countIn is how many requests a digest has at the plain workers of a gateway.
+// countIn returns the number of requests at plain workers in a load report.
 func countIn(d loads.Digest) int {
 	n := 0
 	for _, w := range workers("plain", 2) {
@@ -54,17 +54,16 @@
 	return n
 }
 
-// TestAttemptsAtAnEarlierProcessAreLost lets the worker of a request start again: the
-// attempt is broken off. What may run again goes to another worker; what must not ends as
-// unknown, never as not run; and the worker's count begins anew and stays right.
-func TestAttemptsAtAnEarlierProcessAreLost(t *testing.T) {
+// TestAttemptsAtAnEarlierProcessAreAborted guards against waiting for a process that has ended,
+// against running a request twice, and against wrong in-flight counts after a restart.
+func TestAttemptsAtAnEarlierProcessAreAborted(t *testing.T) {
 	for path, repeatable := range map[string]bool{"/safe/x": true, "/unsafe/x": false} {
-		s, d := arrive(t, bornReady(2), request("1", path), start)
+		s, d := arrive(t, readyWithStarts(2), request("1", path), start)
 		first := d.(requests.Dispatch)
 		require.Equal(t, 1, countIn(s.Loads(start)))
-		s, decisions := register(s, startedAgain(first.Worker), start)
+		s, decisions := register(s, restarted(first.Worker), start)
 		require.Equal(t, requests.AbortAttempt{Request: "1", Attempt: first.Attempt}, only(t, decisions))
-		require.Zero(t, countIn(s.Loads(start)), "the new process has none of it")
+		require.Zero(t, countIn(s.Loads(start)), "the new process has no requests in flight")
 		s, decisions = requests.Reduce(s, requests.AttemptEnded{
 			Request: "1", Attempt: first.Attempt, Result: outcome.Interrupted{TimedOut: true}, CallerWaiting: true,
 		}, start)
@@ -83,19 +82,19 @@
 	}
 }
 
-// TestBeliefsEndWithTheProcess has a worker fail until it is ejected, decline as replaced,
-// and report a full queue: its next process starts without any of it.
-func TestBeliefsEndWithTheProcess(t *testing.T) {
+// TestRestartResetsWorkerState guards against holding failures, declines and load of the previous
+// process against a restarted worker.
+func TestRestartResetsWorkerState(t *testing.T) {
 	for name, result := range map[string]outcome.Attempt{
 		"silent": outcome.NeverSent{ConnectTimedOut: true}, "replaced": outcome.Declined{Leaving: true}, "declined": outcome.Declined{},
 	} {
-		s, d := arrive(t, bornReady(1), request("1", "/unsafe/x"), start)
+		s, d := arrive(t, readyWithStarts(1), request("1", "/unsafe/x"), start)
 		first := d.(requests.Dispatch)
 		s, _ = requests.Reduce(s, requests.HeaderReceived{
 			Worker: first.Worker.ID, Route: "unsafe", Load: requests.Load{Running: 64, Waiting: 99, Slots: 64},
 		}, start)
 		s, _ = requests.Reduce(s, requests.AttemptEnded{Request: "1", Attempt: 1, Result: result}, start)
-		s, _ = register(s, startedAgain(first.Worker), start)
+		s, _ = register(s, restarted(first.Worker), start)
 		_, d = arrive(t, s, request("2", "/unsafe/x"), start)
 		sent, ok := d.(requests.Dispatch)
 		require.True(t, ok, name)
@@ -103,24 +102,23 @@
 	}
 }
 
-// TestNoPrefixFromAProcessThatHasJustStarted lets the engine that keeps a prefix start
-// again while it is busy: for a while nobody is sent to it for what its earlier process
-// read, and its place in the order stays.
+// TestNoPrefixFromAProcessThatHasJustStarted guards against copying prefixes from a restarted
+// engine, whose cache is empty, and against changing its position in the rendezvous order.
 func TestNoPrefixFromAProcessThatHasJustStarted(t *testing.T) {
 	ask := func(s requests.State, id string, now time.Time) requests.Dispatch {
 		r := request(id, "/resumable/x")
-		r.Prompt, r.Deadline = shared(), now.Add(time.Hour)
+		r.Prompt, r.Deadline = sharedPrompt(), now.Add(time.Hour)
 		_, d := arrive(t, s, r, now)
 		return d.(requests.Dispatch)
 	}
-	s := bornReady(6)
+	s := readyWithStarts(6)
 	keeper := ask(s, "1", start).Worker
-	s, _ = register(s, startedAgain(keeper), start)
+	s, _ = register(s, restarted(keeper), start)
 	require.Equal(t, keeper.ID, ask(s, "2", start).Worker.ID)
 	// It declines, so that the next engine takes the request.
 	elsewhere := func(now time.Time) requests.Dispatch {
 		r := request("3", "/resumable/x")
-		r.Prompt = shared()
+		r.Prompt = sharedPrompt()
 		s, _ := requests.Reduce(s, requests.Confirmed{Confirmation: confirmation.At(now)}, now)
 		s, _ = arrive(t, s, r, now)
 		_, decisions := requests.Reduce(s, requests.AttemptEnded{Request: "3", Attempt: 1, Result: outcome.Declined{}, CallerWaiting: true}, now)
@@ -130,16 +128,14 @@
 	require.Equal(t, keeper.Address, elsewhere(start.Add(time.Minute)).CacheFrom)
 }
 
-// TestDelayedHeartbeatOfADisplacedProcess follows two replicas: by one of them another
-// process has taken a worker's address, the other one was then brought a delayed heartbeat
-// of the earlier process. Nothing goes there, whether they say when they started or not,
-// until the later process is silent.
+// TestDelayedHeartbeatOfADisplacedProcess guards against using an earlier process again after a
+// delayed heartbeat, while a later one at its address is alive.
 func TestDelayedHeartbeatOfADisplacedProcess(t *testing.T) {
 	for _, dated := range []bool{false, true} {
 		earlier, later := workers("plain", 1)[0], workers("plain", 1)[0]
 		later.ID, earlier.Seq = "later", 7
 		if dated {
-			earlier.Born, later.Born = bornFirst, bornSecond
+			earlier.Born, later.Born = firstStart, secondStart
 		}
 		s := ready(0)
 		s, _ = register(s, earlier, start)
@@ -155,12 +151,12 @@
 		later.State = registry.Silent
 		s, _ = register(s, later, start)
 		_, d := arrive(t, s, request("last", "/unsafe/x"), start)
-		require.Equal(t, earlier.ID, d.(requests.Dispatch).Worker.ID, "replicas hear it, and the other one no more")
+		require.Equal(t, earlier.ID, d.(requests.Dispatch).Worker.ID, "the earlier process is registered as ready, the later one as silent")
 	}
 }
 
-// TestWorkersThatAreOverAreForgotten registers workers under new ids for a day.
-func TestWorkersThatAreOverAreForgotten(t *testing.T) {
+// TestEndedWorkersAreRemoved guards against unbounded growth when workers register under new ids.
+func TestEndedWorkersAreRemoved(t *testing.T) {
 	s, now := ready(2), start
 	for i := range 1000 {
 		now = now.Add(time.Minute)
--- a/core/requests/retry_test.go
+++ b/core/requests/retry_test.go
@@ -17,8 +17,8 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// TestRetriesStayWithinTheBudget lets every try fail: what is sent once more
-// stays within the share of requests and the host's part of the extra ones.
+// TestRetriesStayWithinTheBudget guards against more retries than the budget allows when every
+// attempt fails.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	const total, hosts = 400, 4
 	s, now := ready(8).WithHostCount(hosts), start
@@ -44,10 +44,9 @@
 	require.Greater(t, dispatched, total)
 }
 
-// TestLentRetriesStayWithinTheFleetsAllowance has every first attempt of many hosts fail at
-// once and for long, and reports of their spending come late: what all send once more in any
-// window stays within the fleet's allowance, and more of it is used than without lending.
-func TestLentRetriesStayWithinTheFleetsAllowance(t *testing.T) {
+// TestBorrowedRetriesStayWithinTheFleetsAllowance guards against exceeding the fleet's allowance
+// by borrowing on late reports, and against borrowing too little to help.
+func TestBorrowedRetriesStayWithinTheFleetsAllowance(t *testing.T) {
 	const (
 		hosts, perSecond, seconds = 60, 120, 40
 		extra, window             = 300.0, 10
--- a/core/requests/start_test.go
+++ b/core/requests/start_test.go
@@ -19,21 +19,21 @@
 
 const startTime = 2 * time.Second
 
-// newStarted returns a gateway that has just started and knows nothing.
+// newStarted returns a host that has just started, without a route table or workers.
 func newStarted() requests.State {
 	return requests.New(requests.Settings{Zone: "z", StartupTimeout: startTime}).WithHostCount(1).WithStartedAt(start)
 }
 
-// withDeadline returns a request whose caller waits for a while from now on.
+// withDeadline returns a request whose caller waits for a while.
 func withDeadline(id, path string, now time.Time, wait time.Duration) requests.Request {
 	r := request(id, path)
 	r.Deadline = now.Add(wait)
 	return r
 }
 
-// become feeds what makes a host able, a step at a time, and returns what is decided
-// at each.
-func become(s requests.State, now time.Time) (requests.State, [][]requests.Decision) {
+// completeStart applies what a starting host lacks, step by step, and returns the decisions of
+// each step.
+func completeStart(s requests.State, now time.Time) (requests.State, [][]requests.Decision) {
 	out := make([][]requests.Decision, 0, 2)
 	s = s.WithRouteTable(table())
 	for _, ev := range []requests.Event{
@@ -46,9 +46,8 @@
 	return s, out
 }
 
-// TestRequestsWaitForAHostThatStarts lets requests arrive at a host that lacks table,
-// confirmation and workers: they wait, and are served in the order of their deadlines
-// once the last of these has come, not before.
+// TestRequestsWaitForAHostThatStarts guards against refusing requests at a starting host, and
+// against serving them out of order or before the host can serve.
 func TestRequestsWaitForAHostThatStarts(t *testing.T) {
 	s := newStarted()
 	for _, r := range []requests.Request{
@@ -59,7 +58,7 @@
 		require.Equal(t, requests.Wait{Request: r.ID}, d)
 	}
 	require.False(t, s.Idle())
-	s, decided := become(s, start.Add(time.Second))
+	s, decided := completeStart(s, start.Add(time.Second))
 	require.Empty(t, decided[0], "without workers")
 	var order []ident.Request
 	for _, d := range decided[1] {
@@ -72,19 +71,19 @@
 	require.Zero(t, s.Counters().WaitedUnserved)
 }
 
-// TestWhatCannotBeServedInTimeIsRefusedAtOnce lets a request arrive whose caller waits
-// for less than a start takes.
+// TestWhatCannotBeServedInTimeIsRefusedAtOnce guards against letting a request wait whose caller
+// stops waiting before the start completes.
 func TestWhatCannotBeServedInTimeIsRefusedAtOnce(t *testing.T) {
 	_, d := arrive(t, newStarted(), withDeadline("1", "/safe/x", start, 500*time.Millisecond), start)
 	v := d.(requests.Finish).Verdict
 	require.Equal(t, outcome.NotRun, v.Outcome)
 	require.Equal(t, requests.CodeNotReady, v.Code)
-	require.Equal(t, startTime/2, v.RetryAfter, "the time that is usually still needed")
+	require.Equal(t, startTime/2, v.RetryAfter, "the likely rest of the startup time")
 }
 
-// TestNobodyWaitsBeyondAStart lets the start fail: what waits is refused at its end,
-// and what comes later at once.
-func TestNobodyWaitsBeyondAStart(t *testing.T) {
+// TestNoRequestWaitsBeyondTheStartupTimeout guards against requests that wait for a start that
+// failed.
+func TestNoRequestWaitsBeyondTheStartupTimeout(t *testing.T) {
 	s, _ := arrive(t, newStarted(), withDeadline("1", "/safe/x", start, time.Minute), start)
 	s, decisions := requests.Reduce(s, requests.Tick{}, start.Add(startTime-time.Millisecond))
 	require.Empty(t, decisions)
@@ -95,17 +94,17 @@
 	require.IsType(t, requests.Finish{}, d)
 }
 
-// TestNobodyWaitsForAHostThatIsCutOff has a host that was able lose its confirmation.
-func TestNobodyWaitsForAHostThatIsCutOff(t *testing.T) {
-	s, _ := become(newStarted(), start)
+// TestNoRequestWaitsForAPartitionedHost guards against waiting at a host that has lost its lease.
+func TestNoRequestWaitsForAPartitionedHost(t *testing.T) {
+	s, _ := completeStart(newStarted(), start)
 	now := start.Add(requests.DefaultKeyLease)
 	_, d := arrive(t, s, withDeadline("1", "/safe/x", now, time.Minute), now)
 	require.Equal(t, requests.CodeStale, d.(requests.Finish).Verdict.Code)
 }
 
-// TestWaitingEndsOnceForEach draws arrivals, callers that leave, steps of a start and
-// time: each request that waits gets one next decision, as long as the host goes on.
-func TestWaitingEndsOnceForEach(t *testing.T) {
+// TestEachWaitingRequestGetsOneDecision draws random events during a start and guards against
+// waiting requests that get no decision or several.
+func TestEachWaitingRequestGetsOneDecision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, now := newStarted(), start
 		waits, ended := map[ident.Request]bool{}, map[ident.Request]int{}
@@ -154,7 +153,7 @@
 	})
 }
 
-// TestTooManyWaitingAreRefused fills the room: the least urgent go.
+// TestTooManyWaitingAreRefused guards against an unbounded number of waiting requests.
 func TestTooManyWaitingAreRefused(t *testing.T) {
 	s := newStarted()
 	refused := 0
--- a/core/requests/subset.go
+++ b/core/requests/subset.go
@@ -34,8 +34,8 @@
 	// least number of engines that a host uses.
 	hostsPerEngine = 3.5
 	minSubsetSize  = 3
-	// cheapPrefixTokens is the number of shared tokens from which reading a prefix again is
-	// expensive.
+	// cheapPrefixTokens is the number of shared tokens below which any engine may read the prefix
+	// again.
 	cheapPrefixTokens = 4096
 )
 
--- a/core/requests/timeouts_test.go
+++ b/core/requests/timeouts_test.go
@@ -13,7 +13,7 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// answer feeds a request whose answer begins after a time, and ends it.
+// answer sends a request whose answer begins after a time, and ends it.
 func answer(t *testing.T, s requests.State, id, path string, head time.Duration) requests.State {
 	t.Helper()
 	s, d := arrive(t, s, request(id, path), start)
@@ -23,8 +23,8 @@
 	return s
 }
 
-// learned returns a gateway on which many answers of a route began after about a time.
-func learned(t *testing.T, path string, head time.Duration) requests.State {
+// withHeaderTimes returns a host on which many answers of a route began after about a time.
+func withHeaderTimes(t *testing.T, path string, head time.Duration) requests.State {
 	s := ready(4)
 	for i := range 60 {
 		s = answer(t, s, fmt.Sprint("learn-", i), path, head+head*time.Duration(i%5)/20)
@@ -32,9 +32,9 @@
 	return s
 }
 
-// TestOnlyWhatMayRunAgainIsGivenUp compares how long a try may wait for the head of its
-// answer.
-func TestOnlyWhatMayRunAgainIsGivenUp(t *testing.T) {
+// TestOnlyRepeatableRequestsHaveAHeaderTimeout guards against canceling requests that must run at
+// most once.
+func TestOnlyRepeatableRequestsHaveAHeaderTimeout(t *testing.T) {
 	s := ready(4)
 	for path, want := range map[string]time.Duration{"/resumable/x": 250 * time.Millisecond, "/safe/x": 250 * time.Millisecond, "/once/x": 0, "/unsafe/x": 0} {
 		_, d := arrive(t, s, request("1", path), start)
@@ -42,11 +42,10 @@
 	}
 }
 
-// TestLateHeaderMovesTheRequestWithinTheBudget lets answers be late until the budget is
-// used up: until then each request goes to another worker, and from then on it waits
-// where it is, instead of failing.
+// TestLateHeaderMovesTheRequestWithinTheBudget guards against canceling attempts beyond the retry
+// budget, or without another worker to go to.
 func TestLateHeaderMovesTheRequestWithinTheBudget(t *testing.T) {
-	s := learned(t, "/resumable/x", 50*time.Millisecond)
+	s := withHeaderTimes(t, "/resumable/x", 50*time.Millisecond)
 	moved, stayed := 0, 0
 	for i := range 300 {
 		var d requests.Decision
@@ -62,7 +61,7 @@
 		next, decisions = requests.Reduce(s, requests.AttemptEnded{Request: sent.Request, Attempt: 1, Result: outcome.Interrupted{TimedOut: true}, CallerWaiting: true}, start)
 		s = next
 		again, ok := only(t, decisions).(requests.Dispatch)
-		require.True(t, ok, "request %d was given up with no other worker to go to", i)
+		require.True(t, ok, "request %d was canceled without another worker to go to", i)
 		require.NotEqual(t, sent.Worker.ID, again.Worker.ID)
 		moved++
 	}
@@ -71,9 +70,9 @@
 	require.LessOrEqual(t, float64(moved), requests.RetryBudgetFraction*(requests.DefaultRetryExtra+requests.DefaultRetryShare*360))
 }
 
-// TestPausesFollowTheUsualTimes has a worker decline after fast answers, after slow ones
-// and after ones that were no longer waited for: the pause before it is asked again grows.
-func TestPausesFollowTheUsualTimes(t *testing.T) {
+// TestResendPausesFollowHeaderTimes guards against pauses that ignore how long answers take to
+// begin, or that shrink because of declines.
+func TestResendPausesFollowHeaderTimes(t *testing.T) {
 	pause := func(s requests.State) time.Duration {
 		s, d := arrive(t, s, request("now", "/unsafe/x"), start)
 		_, d = decline(t, s, d.(requests.Dispatch), start)
@@ -97,7 +96,7 @@
 		}
 		return s
 	}
-	require.Equal(t, pause(taught(30*time.Millisecond)), pause(declining(taught(30*time.Millisecond))), "declines teach nothing")
+	require.Equal(t, pause(taught(30*time.Millisecond)), pause(declining(taught(30*time.Millisecond))), "declines must not change the estimate")
 	fast, slow := pause(taught(10*time.Millisecond)), pause(taught(30*time.Millisecond))
 	require.Less(t, fast, slow)
 	require.Less(t, slow, 60*time.Millisecond)
--- a/core/requests/worker_test.go
+++ b/core/requests/worker_test.go
@@ -15,7 +15,8 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// TestWorkersThatLeaveGetNothingNew tries every way in which a worker leaves.
+// TestWorkersThatLeaveGetNothingNew guards against late registrations that make a draining or
+// gone worker available again.
 func TestWorkersThatLeaveGetNothingNew(t *testing.T) {
 	for _, state := range []registry.State{registry.Draining, registry.Gone} {
 		s := ready(1)
@@ -29,7 +30,7 @@
 	}
 }
 
-func TestReplacedWorkerIsLeft(t *testing.T) {
+func TestReplacedWorkerIsNotUsedAgain(t *testing.T) {
 	s := ready(1)
 	s, d := arrive(t, s, request("1", "/unsafe/x"), start)
 	s, _ = requests.Reduce(s, requests.AttemptEnded{
@@ -39,8 +40,8 @@
 	require.IsType(t, requests.Finish{}, d)
 }
 
-// TestFailingWorkersAreUsedWhereNothingIsLeft ejects all: most likely the fault
-// is on our side.
+// TestFailingWorkersAreUsedWhereNothingIsLeft guards against refusing everything when all workers
+// are ejected, as the fault is then most likely this host's.
 func TestFailingWorkersAreUsedWhereNothingIsLeft(t *testing.T) {
 	s := ready(2)
 	for i := range 4 {
--- a/core/requests/zones_test.go
+++ b/core/requests/zones_test.go
@@ -16,16 +16,16 @@
 	"github.com/yardhall/yardhall/core/requests"
 )
 
-// zonedHost is the gateway of a host in zone z, with workers of three zones.
+// zonedHost simulates a host in zone z with workers in three zones.
 type zonedHost struct {
 	t     *testing.T
 	state requests.State
 	now   time.Time
 	zones map[ident.Target]ident.Zone
 	next  int
-	// kept is set where requests go over connections kept from before the cut.
-	kept   bool
-	probes []registry.Worker
+	// keepAlive is set if requests use connections from before the partition.
+	keepAlive bool
+	probes    []registry.Worker
 }
 
 func newZoned(t *testing.T, each int) *zonedHost {
@@ -45,7 +45,7 @@
 	return h
 }
 
-// feed reduces an event and returns what becomes of its request.
+// feed applies an event and returns the decision on its request.
 func (h *zonedHost) feed(ev requests.Event) requests.Decision {
 	var decisions []requests.Decision
 	h.state, decisions = requests.Reduce(h.state, ev, h.now)
@@ -61,8 +61,8 @@
 	return out
 }
 
-// ask has a request arrive, each with a prompt of its own.
-func (h *zonedHost) ask() requests.Dispatch {
+// sendRequest has a request with its own prompt arrive.
+func (h *zonedHost) sendRequest() requests.Dispatch {
 	h.next++
 	h.feed(requests.Confirmed{Confirmation: confirmation.At(h.now)})
 	r := request(fmt.Sprintf("r%d", h.next), "/resumable/x")
@@ -72,15 +72,15 @@
 	return d
 }
 
-// play asks until a request ends well: tries in zones that are cut off end without
-// an answer. It returns how many tries that took.
-func (h *zonedHost) play(cut ...ident.Zone) int {
-	d, tries := h.ask(), 1
+// countAttempts retries a request until it succeeds, and returns the number of attempts. Attempts
+// in partitioned zones time out.
+func (h *zonedHost) countAttempts(cut ...ident.Zone) int {
+	d, tries := h.sendRequest(), 1
 	for {
 		var result outcome.Attempt = outcome.Answered{Status: 200}
 		for _, zone := range cut {
 			if h.zones[d.Worker.ID] == zone {
-				result = h.silence()
+				result = h.timeout()
 			}
 		}
 		next := h.feed(requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, CallerWaiting: true})
@@ -92,28 +92,28 @@
 	}
 }
 
-// silence is how a try ends in a zone that is cut off.
-func (h *zonedHost) silence() outcome.Attempt {
-	if h.kept {
+// timeout returns the result of an attempt in a partitioned zone.
+func (h *zonedHost) timeout() outcome.Attempt {
+	if h.keepAlive {
 		return outcome.Interrupted{Reason: "i/o timeout", TimedOut: true}
 	}
 	return outcome.NeverSent{Reason: "i/o timeout", ConnectTimedOut: true}
 }
 
-// TestZoneThatIsCutOffIsLeftAtOnce cuts a zone of thirty workers off: a few requests
-// find out, not one for each worker; when it is back, all its workers are used again.
-func TestZoneThatIsCutOffIsLeftAtOnce(t *testing.T) {
+// TestPartitionedZoneIsAvoidedAtOnce guards against finding out about a partitioned zone worker
+// by worker, and against avoiding it once it is reachable again.
+func TestPartitionedZoneIsAvoidedAtOnce(t *testing.T) {
 	for _, kept := range []bool{false, true} {
-		t.Run(fmt.Sprint("kept connections ", kept), func(t *testing.T) { cutOneZone(t, kept) })
+		t.Run(fmt.Sprint("kept connections ", kept), func(t *testing.T) { partitionOneZone(t, kept) })
 	}
 }
 
-func cutOneZone(t *testing.T, kept bool) {
+func partitionOneZone(t *testing.T, kept bool) {
 	h := newZoned(t, 30)
-	h.kept = kept
+	h.keepAlive = kept
 	misses := 0
 	for range 200 {
-		misses += h.play("y") - 1
+		misses += h.countAttempts("y") - 1
 		h.now = h.now.Add(10 * time.Millisecond)
 	}
 	require.LessOrEqual(t, misses, 5)
@@ -122,37 +122,38 @@
 		require.EqualValues(t, "y", w.Zone)
 		h.feed(requests.ProbeEnded{Worker: w.ID})
 	}
-	require.LessOrEqual(t, len(h.probes), 5, "connections without a request are few")
+	require.LessOrEqual(t, len(h.probes), 5, "probes are rate-limited")
 	h.feed(requests.ProbeEnded{Worker: h.probes[0].ID, OK: true})
 	used := map[ident.Zone]int{}
 	for range 90 {
-		d := h.ask()
+		d := h.sendRequest()
 		used[h.zones[d.Worker.ID]]++
 	}
 	require.Greater(t, used["y"], 15)
 }
 
-// TestHostThatIsCutOffKeepsToItsZone cuts all other zones off.
-func TestHostThatIsCutOffKeepsToItsZone(t *testing.T) {
+// TestPartitionedHostUsesItsOwnZone guards against a host that cannot reach other zones trying
+// each of them.
+func TestPartitionedHostUsesItsOwnZone(t *testing.T) {
 	h := newZoned(t, 30)
 	misses := 0
 	for range 200 {
-		misses += h.play("y", "x") - 1
+		misses += h.countAttempts("y", "x") - 1
 		h.now = h.now.Add(10 * time.Millisecond)
 	}
 	require.LessOrEqual(t, misses, 8)
-	d := h.ask()
+	d := h.sendRequest()
 	require.EqualValues(t, "z", h.zones[d.Worker.ID])
 }
 
-// TestDarkWorkersDoNotCloseTheirZone has a few workers of a zone go dark: the others
-// are used on.
-func TestDarkWorkersDoNotCloseTheirZone(t *testing.T) {
+// TestDeadWorkersDoNotMakeTheirZoneUnreachable guards against avoiding a zone because a few of
+// its workers are dead.
+func TestDeadWorkersDoNotMakeTheirZoneUnreachable(t *testing.T) {
 	h := newZoned(t, 30)
 	dark := map[ident.Target]bool{"y-1": true, "y-2": true, "y-3": true, "y-4": true}
 	others := 0
 	for range 400 {
-		d := h.ask()
+		d := h.sendRequest()
 		var result outcome.Attempt = outcome.Answered{Status: 200}
 		if dark[d.Worker.ID] {
 			result = outcome.NeverSent{Reason: "i/o timeout", ConnectTimedOut: true}
@@ -169,19 +170,19 @@
 	require.Greater(t, others, 60)
 }
 
-// TestRefusedConnectionsCloseNoZone has workers refuse connections: something of
-// their zone answers.
-func TestRefusedConnectionsCloseNoZone(t *testing.T) {
+// TestRefusedConnectionsMakeNoZoneUnreachable guards against taking refused connections for a
+// partition.
+func TestRefusedConnectionsMakeNoZoneUnreachable(t *testing.T) {
 	h := newZoned(t, 4)
 	for range 40 {
-		d := h.ask()
+		d := h.sendRequest()
 		h.feed(requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: outcome.NeverSent{Reason: "refused"}, CallerWaiting: false})
 		h.now = h.now.Add(10 * time.Millisecond)
 	}
 	h.now = h.now.Add(time.Minute)
 	seen := map[ident.Zone]bool{}
 	for range 40 {
-		d := h.ask()
+		d := h.sendRequest()
 		seen[h.zones[d.Worker.ID]] = true
 	}
 	require.Len(t, seen, 3)
