--- a/core/host/listedcrashes.go
+++ b/core/host/listedcrashes.go
@@ -55,7 +55,7 @@
 		return
 	}
 	probed := t.crashes.observer.ProbeRequested(c.target, c.targetBoot, t.now)
-	t.crashes.observer = t.crashes.observer.WithSuspect(crashes.Suspect{Content: c.content, Boot: c.targetBoot, Crash: crashes.Crash{
+	t.crashes.observer = t.crashes.observer.WithSuspect(crashes.Suspect{Content: c.content, Incarnation: c.targetBoot, Crash: crashes.Crash{
 		Attempt: fmt.Sprintf("%s/%d", c.request.ID, c.attempt), Worker: c.target, SentAt: c.sentAt, EndedAt: t.now, AnswerStarted: r.AnswerStarted,
 	}}, t.now)
 	if !probed {
--- a/core/host/place.go
+++ b/core/host/place.go
@@ -43,8 +43,8 @@
 	if key == 0 {
 		key = hash.Of(string(c.request.ID))
 	}
-	for _, p := range t.layout.services[c.service.ID] {
-		holders := p.holders[c.request.Model]
+	for _, p := range t.layout.groupsByService[c.service.ID] {
+		holders := p.modelHolders[c.request.Model]
 		if holders == 0 || t.layout.owners[p.id] == "" || t.hasNoUsableEngine(p.id) {
 			continue
 		}
@@ -193,7 +193,7 @@
 // localCandidates returns the targets of the call's group that this host may use without a permit.
 func (t *transition) localCandidates(c call) []config.Target {
 	var out []config.Target
-	for _, p := range t.layout.services[c.service.ID] {
+	for _, p := range t.layout.groupsByService[c.service.ID] {
 		if p.id != c.group {
 			continue
 		}
@@ -211,7 +211,7 @@
 // localShare returns the number of requests that a host may have at a target without permits: its
 // share of the target's slots, at least one.
 func (t *transition) localShare(target config.Target) int {
-	return max(1, target.Slots/t.aliveServing())
+	return max(1, target.Slots/t.countServingHosts())
 }
 
 // pickPlainTarget sends the call to the worker of a plain service with the lowest plainCost.
@@ -219,7 +219,7 @@
 	var best config.Target
 	found := false
 	var bestCost int
-	for _, p := range t.layout.services[c.service.ID] {
+	for _, p := range t.layout.groupsByService[c.service.ID] {
 		for _, target := range p.targets {
 			if !t.canSendTo(target.ID) || slices.Contains(c.triedTargets, target.ID) {
 				continue
