--- a/core/requests/notice_test.go
+++ b/core/requests/notice_test.go
@@ -276,7 +276,7 @@
 	late.Seq = 3
 	s, _ = requests.Reduce(s, requests.Registered{From: "r", Workers: []registry.Worker{late}}, later)
 	_, d = arrive(t, s, request("third", "/unsafe/x"), later)
-	require.IsType(t, requests.Finish{}, d, "a late heartbeat does not make the worker available")
+	require.IsType(t, requests.Finish{}, d, "a late heartbeat brings nobody back")
 
 	s = ready(0)
 	first := workers("plain", 1)[0]
