--- a/core/crashes/observer.go
+++ b/core/crashes/observer.go
@@ -75,17 +75,17 @@
 // count as crashes. It also returns their number.
 func (o Observer) WithProcessExit(worker ident.Target, incarnation uint64, now time.Time) (Observer, int) {
 	n := 0
-	var left []Suspect
+	var remaining []Suspect
 	for _, s := range o.suspects {
 		switch {
 		case !s.isOfProcess(worker, incarnation):
-			left = append(left, s)
+			remaining = append(remaining, s)
 		case !s.expired(now):
 			o.reports = o.reports.With(Report{Content: s.Content, Crash: s.Crash, SeenAt: now}, now)
 			n++
 		}
 	}
-	o.suspects = left
+	o.suspects = remaining
 	return o, n
 }
 
--- a/core/routing/group.go
+++ b/core/routing/group.go
@@ -76,7 +76,7 @@
 // maxReportDelay is how late a load report may arrive: two reporting intervals.
 const maxReportDelay = 4 * time.Second
 
-// withOwnLoad returns e with n more permits, for work more estimated tokens.
+// withOwnLoad returns t with n more permits, for work more estimated tokens.
 func (t Target) withOwnLoad(permits int, work int64, now time.Time) Target {
 	if now.Sub(t.windowStart) > maxReportDelay {
 		t.lastPeak, t.peak, t.windowStart = t.peak, t.Mine, now
--- a/core/routing/place.go
+++ b/core/routing/place.go
@@ -170,7 +170,7 @@
 	return best
 }
 
-// hasCapacity reports whether e may take one more request.
+// hasCapacity reports whether t may take one more request.
 func hasCapacity(t Target, req PermitRequest, limit int) bool {
 	slots := t.Slots
 	if req.Rank > 0 {
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -66,7 +66,7 @@
 	_, answered := result.(outcome.Answered)
 	expired := !callerGone && !answered && !c.server.now().Before(d.Deadline)
 	if expired {
-		result = outcome.Interrupted{Reason: "no complete response before the deadline", AnswerStarted: c.relay.headerSent}
+		result = outcome.Interrupted{Reason: "no whole answer before the deadline", AnswerStarted: c.relay.headerSent}
 	}
 	c.observed.Attempts = append(c.observed.Attempts, Attempt{Dispatch: d, Result: result, Duration: c.server.now().Sub(startedAt)})
 	if expired {
