--- a/core/host/world_test.go
+++ b/core/host/world_test.go
@@ -93,7 +93,7 @@
 	return hit
 }
 
-func (e *engine) clearCache() {
+func (e *engine) clear() {
 	e.cache, e.lastUsed, e.cacheSize = map[hash.Key]float64{}, map[hash.Key]time.Time{}, 0
 }
 
@@ -193,7 +193,7 @@
 		}
 		cfg = mustApply(cfg, config.PutTarget{Target: t})
 		e := &engine{target: t, up: true, boot: 1, cacheLimit: 400_000}
-		e.clearCache()
+		e.clear()
 		w.engines[t.ID] = e
 		w.order = append(w.order, e)
 	}
@@ -360,7 +360,7 @@
 func (w *simulation) replaceEngine(e *engine, away time.Duration) {
 	e.up, e.inFlight = false, 0
 	e.boot++
-	e.clearCache()
+	e.clear()
 	w.schedule(away, func() { e.up = true })
 }
 
