--- a/core/host/crashfleet_test.go
+++ b/core/host/crashfleet_test.go
@@ -95,7 +95,7 @@
 	return f
 }
 
-// advance advances the clock by d.
+// advance lets d pass for hosts and workers.
 func (f *crashFleet) advance(d time.Duration) {
 	for range int(d / seededStep) {
 		for _, w := range f.workers {
