--- a/core/host/crashes_test.go
+++ b/core/host/crashes_test.go
@@ -134,9 +134,9 @@
 func TestPartitionedHostLearnsRefusal(t *testing.T) {
 	for _, cut := range []ident.Host{entryName(2), replicaName(0)} {
 		f := newCrashFleet(t, 6, 24, 5)
-		f.cutOff(cut, true)
+		f.partition(cut, true)
 		f.runLoad(8*time.Second, 400*time.Millisecond, badRequest)
-		f.cutOff(cut, false)
+		f.partition(cut, false)
 		f.advance(crashSpreadTime)
 		require.NotZero(t, f.states[cut].Requests().CrashList().Len())
 		sent := len(f.sentAt[badRequest])
@@ -181,7 +181,7 @@
 // entry hosts. The other hosts must still refuse the request, and all hosts serve the rest.
 func TestMixedVersionsRefuseKnownRequests(t *testing.T) {
 	f := newCrashFleet(t, 6, 24, 7)
-	f.older = map[ident.Host]bool{replicaName(2): true, entryName(0): true, entryName(1): true, entryName(2): true}
+	f.earlierHosts = map[ident.Host]bool{replicaName(2): true, entryName(0): true, entryName(1): true, entryName(2): true}
 	f.runLoad(8*time.Second, 400*time.Millisecond, badRequest)
 	f.advance(time.Second)
 	for i := range 6 {
@@ -242,7 +242,7 @@
 		f.arrive(entryName(i%3), fmt.Sprint("/x/", i))
 	}
 	release := f.now.Add(6 * time.Second)
-	f.hold = func(p seededPacket) time.Duration {
+	f.delay = func(p seededPacket) time.Duration {
 		if _, isPoll := p.message.(host.Poll); isPoll {
 			return release.Sub(f.now)
 		}
--- a/core/host/repair.go
+++ b/core/host/repair.go
@@ -96,7 +96,7 @@
 
 func (t *transition) recentlyRepaired(id ident.Intent) bool {
 	for _, p := range t.catalog.Plans.All() {
-		if p.Repair && p.Intent.ID == id && t.timeOfDay().Sub(p.Created) < minRepairInterval {
+		if p.Repair && p.Intent.ID == id && t.wallClock().Sub(p.Created) < minRepairInterval {
 			return true
 		}
 	}
--- a/core/host/zones_test.go
+++ b/core/host/zones_test.go
@@ -42,7 +42,7 @@
 // dispatchedZone sends a request to an entry host and returns the zone of the worker that gets it,
 // or "" if none does. The worker answers immediately.
 func (f *seededFleet) dispatchedZone(at ident.Host) ident.Zone {
-	d, ok := f.ask(at, "/x/1", "k").(requests.Dispatch)
+	d, ok := f.sendRequest(at, "/x/1", "k").(requests.Dispatch)
 	if !ok {
 		return ""
 	}
@@ -56,7 +56,7 @@
 func newTwoZoneFleet(t *testing.T, entries int) *seededFleet {
 	f := newSeededFleet(t, 3, entries)
 	f.run(8 * time.Second)
-	require.True(t, f.put(f.leader(), f.table(1, "k"), time.Second))
+	require.True(t, f.putTable(f.leader(), f.table(1, "k"), time.Second))
 	f.registerWorkerIn(replicaName(0), "w", "hall-a", 1)
 	f.registerWorkerIn(replicaName(1), "ww", "hall-b", 1)
 	f.run(2 * time.Second)
@@ -70,7 +70,7 @@
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
 			f := newTwoZoneFleet(t, entries)
 			for _, drained := range []bool{true, false} {
-				took := f.runUntilAcked(t, f.submitZoneOrder(f.follower(), "hall-b", drained), 5*time.Second)
+				took := f.runUntilAcked(t, f.submitZoneOrder(f.anyFollower(), "hall-b", drained), 5*time.Second)
 				t.Logf("drained=%t after %s", drained, took)
 				require.Less(t, took, time.Second)
 				for i := range entries {
@@ -116,7 +116,7 @@
 func (o *zoneOrders) check(t *testing.T, entries int) {
 	t.Helper()
 	for zone, id := range o.pending {
-		if o.f.acked(id) {
+		if o.f.isAcknowledged(id) {
 			delete(o.pending, zone)
 			o.acks++
 			if at := o.drainedAt[zone]; o.drained[zone] && at.IsZero() {
@@ -151,11 +151,11 @@
 			f := newTwoZoneFleet(t, entries)
 			f.run(3 * time.Second)
 			if seed%2 == 1 {
-				f.older = map[ident.Host]bool{entryName(0): true, entryName(3): true}
+				f.earlierHosts = map[ident.Host]bool{entryName(0): true, entryName(3): true}
 			}
 			o, number, seq := newZoneOrders(f), uint64(1), uint64(1)
 			slow := map[ident.Host]time.Duration{}
-			f.hold = func(p seededPacket) time.Duration { return slow[p.from] + slow[p.to] }
+			f.delay = func(p seededPacket) time.Duration { return slow[p.from] + slow[p.to] }
 			for step := range 240 {
 				f.injectFault(r, entries, slow, leaderFaults{cut: seed%3 == 0, stop: seed%3 == 1})
 				if step%12 == 0 {
@@ -169,7 +169,7 @@
 					o.submit(replicaName(r.IntN(3)), zone, r.IntN(3) > 0)
 				case 2:
 					number++
-					f.submit(replicaName(r.IntN(3)), f.table(number, "k"))
+					f.submitTable(replicaName(r.IntN(3)), f.table(number, "k"))
 				}
 				f.run(100 * time.Millisecond)
 				o.check(t, entries)
@@ -199,8 +199,8 @@
 	f.addReplica(leader, false)
 	f.run(6 * time.Second)
 	requireDrained("its disk was lost")
-	require.True(t, f.put(f.leader(), f.table(2, "k"), time.Second))
-	require.True(t, f.put(f.leader(), f.table(2, "k"), time.Second), "sent again")
+	require.True(t, f.putTable(f.leader(), f.table(2, "k"), time.Second))
+	require.True(t, f.putTable(f.leader(), f.table(2, "k"), time.Second), "sent again")
 	requireDrained("the route table changed")
 	for _, id := range f.order {
 		f.stop(id)
@@ -214,7 +214,7 @@
 	f.registerWorkerIn(replicaName(1), "ww", "hall-b", 5)
 	f.run(2 * time.Second)
 	requireDrained("all power was lost")
-	f.runUntilAcked(t, f.submitZoneOrder(f.follower(), "hall-b", false), time.Second)
+	f.runUntilAcked(t, f.submitZoneOrder(f.anyFollower(), "hall-b", false), time.Second)
 	f.run(time.Second)
 	served := map[ident.Zone]bool{}
 	for range 20 {
@@ -227,7 +227,7 @@
 // requests to a drained zone, and against orders that wait for such a host.
 func TestPartitionedHostStopsWhenLeaseExpires(t *testing.T) {
 	f := newTwoZoneFleet(t, 3)
-	f.silence(entryName(0))
+	f.dropMessagesTo(entryName(0))
 	took := f.runUntilAcked(t, f.submitZoneOrder(f.leader(), "hall-b", true), 5*time.Second)
 	require.LessOrEqual(t, took, time.Second, "the order waited for an unreachable host")
 	f.run(zoneDrainTime)
@@ -244,9 +244,9 @@
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
 			f := newTwoZoneFleet(t, entries)
 			f.run(4 * time.Second)
-			f.older = map[ident.Host]bool{}
+			f.earlierHosts = map[ident.Host]bool{}
 			for i := 0; i < entries; i += 2 {
-				f.older[entryName(i)] = true
+				f.earlierHosts[entryName(i)] = true
 			}
 			f.run(2 * time.Second)
 			seq := uint64(1)
@@ -271,12 +271,12 @@
 // runs an earlier version.
 func TestZoneOrderWaitsWhileAReplicaIsEarlier(t *testing.T) {
 	f := newTwoZoneFleet(t, 3)
-	f.older = map[ident.Host]bool{f.follower(): true}
+	f.earlierHosts = map[ident.Host]bool{f.anyFollower(): true}
 	f.run(time.Second)
 	id := f.submitZoneOrder(f.leader(), "hall-b", true)
 	f.run(6 * time.Second)
-	require.False(t, f.acked(id))
-	f.older = nil
+	require.False(t, f.isAcknowledged(id))
+	f.earlierHosts = nil
 	f.runUntilAcked(t, id, 6*time.Second)
 }
 
@@ -290,7 +290,7 @@
 			sent[f.dispatchedZone(entryName(i))] = true
 		}
 		require.True(t, sent["hall-a"], "entry %d", i)
-		require.Equal(t, !drained, sent["hall-b"], "entry %d, earlier program %t", i, f.older[entryName(i)])
+		require.Equal(t, !drained, sent["hall-b"], "entry %d, earlier program %t", i, f.earlierHosts[entryName(i)])
 	}
 }
 
@@ -320,7 +320,7 @@
 			r := rand.New(rand.NewPCG(seed, 7))
 			f := newTwoZoneFleet(t, 2)
 			slow := map[ident.Host]time.Duration{}
-			f.hold = func(p seededPacket) time.Duration { return slow[p.from] + slow[p.to] }
+			f.delay = func(p seededPacket) time.Duration { return slow[p.from] + slow[p.to] }
 			var history []porcupine.Operation
 			open := map[string]int{}
 			at := func() int64 { return f.now.UnixNano() }
@@ -337,9 +337,9 @@
 					clear(slow)
 				case 2:
 					if leader := f.leader(); leader != "" && r.IntN(4) == 0 {
-						f.cutOff(leader, true)
+						f.partition(leader, true)
 						f.run(1500 * time.Millisecond)
-						f.cutOff(leader, false)
+						f.partition(leader, false)
 					}
 				}
 				f.run(time.Duration(1+r.IntN(4)) * seededStep)
