--- a/core/host/repair_test.go
+++ b/core/host/repair_test.go
@@ -65,7 +65,7 @@
 	require.Len(t, orders, 2)
 	first := orders[0].Target.ID
 	pass(10*time.Second, first)
-	require.Len(t, orders, 3, "want one replacement of the lost engine")
+	require.Len(t, orders, 3, "replaced once")
 	require.Equal(t, zone(0), orders[2].Target.Zone)
 	require.NotEqual(t, first, orders[2].Target.ID)
 	require.Greater(t, orders[2].Token, orders[1].Token)
