--- a/core/host/pollreply.go
+++ b/core/host/pollreply.go
@@ -26,7 +26,7 @@
 	t.applyHubList(m)
 	t.applyFallbackPeers(m)
 	t.applyTable(m)
-	t.adoptZones(from, m.Zones)
+	t.applyZones(from, m.Zones)
 	sent, known := t.popPendingPoll(m.Round)
 	if m.Summed && known {
 		t.seeded.loadsDueAt = t.now.Add(time.Duration(len(m.Loads)) * loadByteTime)
