--- a/core/host/inforce_test.go
+++ b/core/host/inforce_test.go
@@ -59,15 +59,15 @@
 	return f.now.Sub(begun)
 }
 
-// requireOldTableUnused requires that an entry host refuses a key that table number removed,
-// and accepts a route and key that it added.
+// requireOldTableUnused requires that an entry host refuses oldKey, which table number removed,
+// and knows the route and key that the table added.
 func (f *seededFleet) requireOldTableUnused(t *testing.T, at ident.Host, number uint64, oldKey string) {
 	t.Helper()
 	_, served := f.sendRequest(at, "/x/1", oldKey).(requests.Dispatch)
-	require.False(t, served, "%s serves a key that is gone", at)
+	require.False(t, served, "%s accepts a revoked key", at)
 	if d, ok := f.sendRequest(at, fmt.Sprintf("/only-%d/1", number), "new").(requests.Finish); ok {
 		require.NotContains(t, []requests.Code{requests.CodeNoRoute, requests.CodeBadKey}, d.Verdict.Code,
-			"%s refuses what table %d has brought", at, number)
+			"%s refuses a route or key that table %d added", at, number)
 	}
 }
 
@@ -98,7 +98,7 @@
 			}
 			id := f.submitTable(to, f.table(2, "new"))
 			took := f.runUntilAcked(t, id, 5*time.Second)
-			require.LessOrEqual(t, took, 2500*time.Millisecond, "an acknowledgement waits no longer than leases need")
+			require.LessOrEqual(t, took, 2500*time.Millisecond, "an acknowledgement takes longer than leases require")
 			f.run(inForceLimit)
 			for range 80 {
 				f.requireOldTableUnused(t, entryName(0), 2, "old")
@@ -185,7 +185,7 @@
 			pending := map[uint64]string{}
 			number := uint64(1)
 			for step := range 160 {
-				f.drawFault(r, entries, slow, leaderFaults{cut: seed%2 == 0})
+				f.injectFault(r, entries, slow, leaderFaults{cut: seed%2 == 0})
 				if step%20 == 0 {
 					number++
 					at := replicaName(r.IntN(3))
@@ -215,7 +215,7 @@
 		for i := range entries {
 			if id := entryName(i); !f.down[id] {
 				_, served := f.sendRequest(id, "/x/1", fmt.Sprint("key-", n-1)).(requests.Dispatch)
-				require.False(t, served, "%s serves by a table before %d, %s after its acknowledgement", id, n, f.now.Sub(at))
+				require.False(t, served, "%s applies a table older than %d, %s after its acknowledgement", id, n, f.now.Sub(at))
 			}
 		}
 	}
--- a/core/requests/crashes.go
+++ b/core/requests/crashes.go
@@ -48,8 +48,8 @@
 	return refused
 }
 
-// crashVerdictFor returns the verdict on such a call. The caller may retry once the refusal
-// expires.
+// crashVerdictFor returns the verdict on a call that is blocked because it crashes workers. The
+// caller may retry once the refusal expires.
 func (t *transition) crashVerdictFor(c call) Verdict {
 	v := Verdict{Outcome: c.combinedOutcome, Code: CodeCrashes, Reason: CrashReason(c.content)}
 	if v.Outcome == outcome.NotRun {
@@ -73,7 +73,7 @@
 		return
 	}
 	probeRequested := t.crashObserver.ProbeRequested(c.target, c.incarnation, t.now)
-	t.crashObserver = t.crashObserver.WithSuspect(crashes.Suspect{Content: c.content, Boot: c.incarnation, Crash: crashes.Crash{
+	t.crashObserver = t.crashObserver.WithSuspect(crashes.Suspect{Content: c.content, Incarnation: c.incarnation, Crash: crashes.Crash{
 		Attempt: fmt.Sprintf("%s/%d", c.req.ID, c.attempt), Worker: c.target, SentAt: c.sentAt, EndedAt: t.now, AnswerStarted: r.AnswerStarted,
 	}}, t.now)
 	switch {
