--- a/core/requests/admit.go
+++ b/core/requests/admit.go
@@ -10,7 +10,7 @@
 	"github.com/yardhall/yardhall/core/outcome"
 )
 
-// A request is admitted if a route matches its host and path, its key is valid or not needed, and
+// A request is admitted if a route matches its HTTP host and path, its key is valid or not needed, and
 // its deadline has not passed. Whether a refusal is final depends on the lease: with a valid
 // lease the table is the newest, so an unknown route or key is refused permanently; otherwise a
 // newer table may differ, and the caller is sent to another host. Requests that need no key are
@@ -19,7 +19,7 @@
 // Inputs: the route table, its lease, the caller's key and deadline.
 
 const (
-	// retryAfter is the advice to callers when the condition may clear soon.
+	// retryAfter is the Retry-After advice to callers when the condition may clear soon.
 	retryAfter = 300 * time.Millisecond
 	// retryAfterElsewhere is the advice when another host can serve the request: just enough time
 	// to open another connection.
--- a/core/requests/attempt.go
+++ b/core/requests/attempt.go
@@ -15,7 +15,7 @@
 //	interrupted               the route is repeatable, and attempts and retry budget allow it
 //	abandoned                 never
 //
-// Requests that crash workers are sent to none (crashes.go).
+// Requests that crash workers are sent to no worker (crashes.go).
 //
 // Invariant: a request that must run at most once is sent again only if it is proved that no
 // worker ran it, as it was never sent or was declined. The outcome reported to the caller
@@ -24,8 +24,8 @@
 // serverError is the lowest status of a server error (RFC 9110, 15.6).
 const serverError = 500
 
-// handleAttemptEnd records the result of an attempt and decides what follows.
-func (t *transition) handleAttemptEnd(ev AttemptEnded) {
+// handleAttemptEnded records the result of an attempt and decides what follows.
+func (t *transition) handleAttemptEnded(ev AttemptEnded) {
 	c, ok := t.calls.Get(ev.Request)
 	if !ok || c.attempt != ev.Attempt {
 		return
@@ -106,7 +106,8 @@
 	t.finish(c.req.ID, v)
 }
 
-// afterInterruption tries another worker if the request is repeatable.
+// afterInterruption tries another worker if the request is repeatable. A retry that was charged
+// when the attempt's header timed out needs no further budget.
 func (t *transition) afterInterruption(c call, r outcome.Interrupted) {
 	c.reachedWorkers++
 	t.suspectCrash(c, r)
--- a/core/requests/cachesource.go
+++ b/core/requests/cachesource.go
@@ -11,9 +11,9 @@
 
 // An engine without a prompt's prefix copies it from the engine that most likely has it cached:
 // the first in the rendezvous order, other than the chosen engine, that can still serve it. That
-// engine may accept no new requests, because it is leaving or has just failed this request. If
-// the chosen engine is itself the first in the order, it may be new, and the next in the order
-// has the prefix.
+// engine need not accept new requests: it may be leaving, or may have declined this request or
+// answered it with a server error. If the chosen engine is itself the first in the order, it may
+// be new, and the next in the order likely has the prefix.
 //
 // Inputs: the pool's workers, their health, and how this request's attempts ended.
 
@@ -32,8 +32,8 @@
 	return bestAddress
 }
 
-// canServeCache reports whether an engine is alive and reachable and, if this request tried it,
-// answered.
+// canServeCache reports whether prefixes can be copied from an engine: it is alive and reachable,
+// has had time to fill its cache, and, if this request tried it, responded.
 func (t *transition) canServeCache(c call, w worker) bool {
 	serving := w.State == registry.Ready || w.State == registry.Draining
 	if !serving || w.addressTaken() || !w.mayHaveCache(t.now) || w.health.Ejected(t.now) || !t.isZoneReachable(w.Zone) {
@@ -42,8 +42,8 @@
 	return w.ID == c.cacheSource || !slices.Contains(c.tried, w.ID)
 }
 
-// withCacheSource records the engine tried first, which has answered: it is alive and, as the
-// most preferred one, likely has the prompt's shared parts cached.
+// withCacheSource records the engine tried first as the cache source. It has responded, so it is
+// alive, and as the first in the rendezvous order it likely has the prompt's shared parts cached.
 func (c call) withCacheSource() call {
 	if c.cacheSource == "" && len(c.tried) == 1 {
 		c.cacheSource = c.target
--- a/core/requests/dispatch.go
+++ b/core/requests/dispatch.go
@@ -51,7 +51,7 @@
 	picked, ok := t.chooseWorker(c)
 	switch {
 	case ok:
-	case t.hasOnlyDrainedWorkers(c):
+	case t.hasDrainedWorker(c):
 		v.Code, v.Reason, v.RetryAfter = CodeDrained, "all workers of the service are in drained zones", retryAfterDrained
 	case picked.onlyCold && c.attempt == 0:
 		v.Code, v.Reason, v.RetryAfter = CodeOverloaded, "all workers of the service are cold and at their rate limit", retryAfterCold
--- a/core/requests/drained.go
+++ b/core/requests/drained.go
@@ -90,9 +90,9 @@
 	return append(others, draining...)
 }
 
-// hasOnlyDrainedWorkers reports whether a call that has not been sent has workers only in drained
-// zones.
-func (t *transition) hasOnlyDrainedWorkers(c call) bool {
+// hasDrainedWorker reports whether a call that has not been sent has a ready worker in a drained
+// zone. If no worker can be chosen for the call, the drain is reported as the cause.
+func (t *transition) hasDrainedWorker(c call) bool {
 	if c.attempt > 0 || t.drainedZones.Revision == 0 {
 		return false
 	}
--- a/core/requests/drained_test.go
+++ b/core/requests/drained_test.go
@@ -142,10 +142,10 @@
 	require.Equal(t, ident.Zone("zb"), d.(requests.Dispatch).Worker.Zone)
 }
 
-// TestFullWorkersAreHelpedByADrainingZone guards against declines while the workers of other
+// TestDrainingZoneIsUsedWhileOtherWorkersAreFull guards against declines while the workers of other
 // zones are full and the drained zone may still be used, and against using it after its drain
 // time.
-func TestFullWorkersAreHelpedByADrainingZone(t *testing.T) {
+func TestDrainingZoneIsUsedWhileOtherWorkersAreFull(t *testing.T) {
 	const slots = 6
 	s := drainingHost(slots).WithDrainedZones(drain("zb"))
 	now := shiftEnd
--- a/core/requests/engine_test.go
+++ b/core/requests/engine_test.go
@@ -30,8 +30,8 @@
 	return s
 }
 
-// zonesOf sends requests that all stay in progress, and counts them by zone.
-func zonesOf(t *testing.T, s requests.State, path string, p requests.Prompt, n int) map[ident.Zone]int {
+// countByZone sends requests that all stay in progress, and counts them by zone.
+func countByZone(t *testing.T, s requests.State, path string, p requests.Prompt, n int) map[ident.Zone]int {
 	t.Helper()
 	out := map[ident.Zone]int{}
 	for i := range n {
@@ -52,13 +52,13 @@
 func TestAtMostOnceRequestsPreferTheirZone(t *testing.T) {
 	short := requests.Prompt{Model: "m", TokensIn: 830, TokensOut: 300, Parts: []requests.Part{{Tokens: 700}, {ID: "own", Tokens: 130}}}
 	long := requests.Prompt{Model: "m", TokensIn: 12000, TokensOut: 300, Parts: []requests.Part{{Tokens: 11000}, {ID: "own", Tokens: 1000}}}
-	require.Len(t, zonesOf(t, threeZones(4), "/once/x", short, 8), 1)
-	require.Len(t, zonesOf(t, threeZones(4), "/resumable/x", short, 60), 3)
-	require.Len(t, zonesOf(t, threeZones(4), "/once/x", long, 60), 3)
+	require.Len(t, countByZone(t, threeZones(4), "/once/x", short, 8), 1)
+	require.Len(t, countByZone(t, threeZones(4), "/resumable/x", short, 60), 3)
+	require.Len(t, countByZone(t, threeZones(4), "/once/x", long, 60), 3)
 	// Beyond the bound on an engine's load the other zones help.
-	require.Len(t, zonesOf(t, threeZones(1), "/once/x", short, 60), 3)
+	require.Len(t, countByZone(t, threeZones(1), "/once/x", short, 60), 3)
 	// Plain workers: the own zone gets more requests, but not all.
-	zones := zonesOf(t, threeZones(1), "/unsafe/x", requests.Prompt{}, 20)
+	zones := countByZone(t, threeZones(1), "/unsafe/x", requests.Prompt{}, 20)
 	require.Len(t, zones, 3)
 	require.Greater(t, zones["z0"], zones["z1"])
 }
--- a/core/requests/fleet_test.go
+++ b/core/requests/fleet_test.go
@@ -346,7 +346,7 @@
 	return out
 }
 
-// withBudgetSpent returns a report by which the fleet's retry budget is spent.
+// withBudgetSpent returns the report with the fleet's retry budget spent.
 func withBudgetSpent(d loads.Digest) loads.Digest {
 	c := d.Counts()
 	c[loads.TagOf("retries of engines")] = 1 << 19
--- a/core/requests/lease.go
+++ b/core/requests/lease.go
@@ -13,7 +13,7 @@
 // within KeyLease, also on a host that is partitioned. The default outlives an election, so that
 // elections refuse no requests.
 //
-// Inputs: the newest confirmation, KeyLease, and the present time.
+// Inputs: the newest confirmation, KeyLease, and the current time.
 
 // LeaseValid reports whether the route table was confirmed recently enough for requests with a
 // key.
@@ -23,7 +23,7 @@
 
 // Ready reports whether the load balancer should send new connections to this host. The lease
 // must remain valid for at least notice, the time the balancer needs to stop sending connections,
-// and a starting host must know the workers that it needs.
+// and a starting host must know a healthy worker for every pool in use.
 func (s State) Ready(now time.Time, notice time.Duration) bool {
 	return s.LeaseValid(now.Add(notice)) && (!s.Starting(now) || s.HasHealthyWorkers(now))
 }
@@ -31,5 +31,5 @@
 // KeyLease returns how long a confirmation remains valid for requests with a key.
 func (s State) KeyLease() time.Duration { return s.settings.KeyLease }
 
-// Confirmation returns the latest confirmation that the route table held is the newest.
+// Confirmation returns the latest confirmation that this host's route table is the newest.
 func (s State) Confirmation() confirmation.Confirmation { return s.confirmed }
--- a/core/requests/load.go
+++ b/core/requests/load.go
@@ -15,9 +15,9 @@
 // is newer. An estimate older than reportTTL is ignored.
 //
 // The smoothed load averages the other hosts' requests over smoothingTime. Reports are out of
-// date, so hosts that all leave an engine by its latest count return to it together: loads
-// oscillate, and prefixes move between engines without need. By the smoothed load they leave an
-// engine only if its load stays high.
+// date, so hosts that all avoid an engine because of its latest count also return to it together:
+// loads oscillate, and prefixes move between engines without need. With the smoothed load, hosts
+// avoid an engine only if its load stays high.
 //
 // Inputs: counts in requests with their as-of times.
 
@@ -36,14 +36,14 @@
 	t.borrowRetries()
 }
 
-// smoothed returns the moving average advanced toward new counts by a weight.
-func smoothed(usual map[loads.Tag]float64, counts loads.Counts, weight float64) map[loads.Tag]float64 {
+// smoothed returns the moving average after new counts, which enter it with the given weight.
+func smoothed(average map[loads.Tag]float64, counts loads.Counts, weight float64) map[loads.Tag]float64 {
 	next := make(map[loads.Tag]float64, len(counts))
 	for tag, n := range counts {
 		next[tag] = weight * float64(n)
 	}
-	for tag, was := range usual {
-		if rest := (1 - weight) * was; rest > minSmoothedLoad {
+	for tag, previous := range average {
+		if rest := (1 - weight) * previous; rest > minSmoothedLoad {
 			next[tag] += rest
 		}
 	}
@@ -100,7 +100,7 @@
 }
 
 // removeInFlight removes the call's attempt from its worker's count, unless the worker has
-// restarted since.
+// restarted since or the call is paused before a resend.
 func (t *transition) removeInFlight(c call) {
 	if w, ok := t.workers.Get(c.target); ok && w.incarnation == c.incarnation && !c.pausing {
 		w.inFlight = max(0, w.inFlight-1)
@@ -108,8 +108,8 @@
 	}
 }
 
-// handleHeader records the time until an answer began and the load that the worker reports; what
-// exceeds this host's requests there belongs to other hosts.
+// handleHeader records the time until an answer began and applies what the worker reports about
+// itself. Reported load beyond this host's requests there belongs to other hosts.
 func (t *transition) handleHeader(ev HeaderReceived) {
 	if !ev.Declined {
 		t.recordHeaderTime(ev.Route, ev.Took)
--- a/core/requests/notice_test.go
+++ b/core/requests/notice_test.go
@@ -39,8 +39,8 @@
 	return requests.Notice{Backoff: e.backoff}, outcome.Declined{Reason: "full", RetryAfter: e.backoff}
 }
 
-// TestWorkersThatBackOffGetNothing guards against requests to an engine within its backoff: one
-// that declines everything has no load, so it would look like the least loaded one.
+// TestWorkersThatBackOffGetNothing guards against requests to an engine within its backoff: an
+// engine that declines everything has no load, so it would look like the least loaded one.
 func TestWorkersThatBackOffGetNothing(t *testing.T) {
 	g := table()
 	for i := range g.Routes {
@@ -123,7 +123,7 @@
 	return s
 }
 
-func TestRequestIsRefusedAtOnceWhereAllWorkersBackOff(t *testing.T) {
+func TestRequestIsRefusedAtOnceWhenAllWorkersBackOff(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/once/x", "/resumable/x"} {
 		s := declineAllWithBackoff(t, path)
 		s, d := arrive(t, s, request("refused", path), start.Add(600*time.Millisecond))
--- a/core/requests/replaced.go
+++ b/core/requests/replaced.go
@@ -25,7 +25,8 @@
 	maxReplacements = 64
 )
 
-// Replacement records that another process answered at a worker's address at SeenAt.
+// Replacement records that at SeenAt another process answered at a worker's address. Born is the
+// incarnation of the worker that it replaced.
 type Replacement struct {
 	Worker ident.Target
 	Born   registry.Incarnation
@@ -37,7 +38,8 @@
 	byWorker table.Table[ident.Target, Replacement]
 }
 
-// With adds a replacement, and drops those that have expired.
+// With drops expired replacements and adds one, unless a later one of the worker is held or
+// maxReplacements is reached.
 func (r Replacements) With(replacement Replacement, now time.Time) Replacements {
 	for id, other := range r.byWorker.All() {
 		if now.Sub(other.SeenAt) > replacementTTL {
@@ -51,7 +53,7 @@
 	return r
 }
 
-// Recent returns those to be reported now.
+// Recent returns the replacements that have not expired.
 func (r Replacements) Recent(now time.Time) []Replacement {
 	var out []Replacement
 	for _, one := range r.byWorker.All() {
--- a/core/requests/requests.go
+++ b/core/requests/requests.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The Yardhall Authors. Licensed under the Apache License, Version 2.0.
 
-// Package requests decides what an entry host does with each request of the route table: whether
+// Package requests decides what an entry host does with each request that it receives: whether
 // to admit it, which worker receives each attempt, what follows a failed attempt, and when the
 // caller may retry. It does no I/O and reads no clock.
 //
@@ -137,8 +137,8 @@
 	reportedAsOf  time.Time
 	// smoothedLoads is a moving average of reportedLoads. Never modified in place.
 	smoothedLoads map[loads.Tag]float64
-	// reachabilityByZone holds the recent connect failures of each other zone, otherZones those
-	// of all other zones together.
+	// reachabilityByZone holds the workers of each other zone that recently failed to respond,
+	// otherZones those of all other zones together.
 	reachabilityByZone table.Table[ident.Zone, reachability]
 	otherZones         reachability
 	// drainedZones are the zones drained by operators; drainClosesAt is the time from which
@@ -149,7 +149,7 @@
 	// it.
 	hostCount      int
 	hostCountKnown bool
-	// closing is set late in a planned stop.
+	// closing is set late in a planned stop; new requests are then refused.
 	closing  bool
 	counters Counters
 	// startedAt is when the host started; zero if requests do not wait for the start. waiting
@@ -200,8 +200,8 @@
 	return s.withoutRemovedRoutes()
 }
 
-// WithNewerTableKnown returns the state with or without the knowledge that a newer route table
-// than the one held exists.
+// WithNewerTableKnown returns the state after learning whether a newer route table than the one
+// held exists.
 func (s State) WithNewerTableKnown(known bool) State {
 	s.newerTableKnown = known
 	return s
@@ -259,9 +259,9 @@
 	case HeaderTimedOut:
 		t.handleHeaderTimeout(ev)
 	case AttemptEnded:
-		t.handleAttemptEnd(ev)
+		t.handleAttemptEnded(ev)
 	case PauseEnded:
-		t.handlePauseEnd(ev)
+		t.handlePauseEnded(ev)
 	case Expired:
 		t.handleExpiry(ev.Request)
 	case Registered:
@@ -271,7 +271,7 @@
 	case Confirmed:
 		t.confirmed = t.confirmed.Latest(ev.Confirmation)
 	case ProbeEnded:
-		t.handleProbeEnd(ev)
+		t.handleProbeEnded(ev)
 	case Withdrawn:
 		t.handleWithdrawal(ev.Request)
 	case Closing:
--- a/core/requests/resend.go
+++ b/core/requests/resend.go
@@ -32,9 +32,9 @@
 	if _, ok := t.resendableWorker(c); !ok || c.resends >= maxResends {
 		return false
 	}
-	usual := t.expectedHeaderTime(c)
-	pause := time.Duration(minPauseFraction * float64(usual) * (1 + c.drawFraction()))
-	begins := t.now.Add(pause + usual)
+	expected := t.expectedHeaderTime(c)
+	pause := time.Duration(minPauseFraction * float64(expected) * (1 + c.drawFraction()))
+	begins := t.now.Add(pause + expected)
 	if begins.Sub(c.arrived) > time.Duration(c.route.Objective) || !t.budgetAllows(c) {
 		return false
 	}
@@ -54,9 +54,9 @@
 	return w, ok && w.healthy(t.now) && w.backoffLeft(t.now) == 0 && !t.isZoneClosed(w.Zone) && !w.isCold(t.now) && !t.isBlockedForCrashes(c)
 }
 
-// handlePauseEnd resends a request to its worker, unless the worker became unavailable during the
+// handlePauseEnded resends a request to its worker, unless the worker became unavailable during the
 // pause.
-func (t *transition) handlePauseEnd(ev PauseEnded) {
+func (t *transition) handlePauseEnded(ev PauseEnded) {
 	c, ok := t.calls.Get(ev.Request)
 	if !ok || !c.pausing {
 		return
--- a/core/requests/resend_test.go
+++ b/core/requests/resend_test.go
@@ -75,9 +75,9 @@
 	require.Fail(t, "the request never ends")
 }
 
-// TestDeclinedRequestIsRefusedAtOnceWhereItWouldBeLate guards against resends after the
+// TestDeclinedRequestIsRefusedAtOnceIfTooLate guards against resends after the
 // objective, to a worker that is leaving, and beyond the retry budget.
-func TestDeclinedRequestIsRefusedAtOnceWhereItWouldBeLate(t *testing.T) {
+func TestDeclinedRequestIsRefusedAtOnceIfTooLate(t *testing.T) {
 	s, d := arrive(t, withObjective(), request("1", "/unsafe/x"), start)
 	_, late := decline(t, s, d.(requests.Dispatch), start.Add(objective-time.Millisecond))
 	require.IsType(t, requests.Finish{}, late)
--- a/core/requests/restart.go
+++ b/core/requests/restart.go
@@ -23,12 +23,13 @@
 const cacheRefillTime = 10 * time.Second
 
 // hasRestarted reports whether a record shows a later process than before. A record that gives a
-// start time for the first time may be of the same process.
+// start time for the first time may come from the same process.
 func hasRestarted(before, after registry.Record) bool {
 	return before.Incarnation() != 0 && after.Incarnation() > before.Incarnation()
 }
 
-// restarted returns the worker as a new process.
+// restarted returns the worker as a new process. A backoff requested within registrationDelay is
+// kept, as the new process may have requested it before it was registered.
 func (w worker) restarted(now time.Time) worker {
 	w.incarnation++
 	w.restartedAt = now
--- a/core/requests/start.go
+++ b/core/requests/start.go
@@ -14,14 +14,14 @@
 // table, a confirmation and workers for about as long as replicas need to elect a leader, and a
 // refused caller would find other hosts in the same state. Waiting requests are served in the
 // order of rank and deadline. A request that will not be served before its own deadline is
-// refused at once, with the likely rest of the startup time as advice.
+// refused at once, with the likely remaining startup time as Retry-After advice.
 //
 // Requests do not wait for a host that could serve before and no longer can: its lease outlives
 // an election, so without a lease it is partitioned for an unknown time, and callers should use
 // another host.
 //
 // Inputs: when the host started, StartupTimeout, the request's deadline and route, and whether
-// the route table, lease and workers are there.
+// the route table, lease and workers are present.
 const (
 	// maxWaiting bounds the waiting requests; beyond it, the least urgent is refused. A host with
 	// file descriptors for 4,096 connections can hold as many beside its connections to workers.
@@ -112,8 +112,9 @@
 	return true
 }
 
-// waitDeadline returns until when a request may wait, and its rank: the end of the startup time
-// or of the request's own time, whichever is earlier.
+// waitDeadline returns the time until which a request may wait, and its rank. The time is the end
+// of StartupTimeout, the request's deadline or the end of its route's timeout, whichever is
+// earliest.
 func (t *transition) waitDeadline(r Request) (until time.Time, rank int) {
 	until = t.startedAt.Add(t.settings.StartupTimeout)
 	if !r.Deadline.IsZero() && r.Deadline.Before(until) {
@@ -166,7 +167,6 @@
 	}
 }
 
-// refuseWaiting refuses a waiting request.
 func (t *transition) refuseWaiting(w waitingRequest, code Code, reason string) {
 	t.removeUnserved(w)
 	t.refuse(w.request.ID, code, reason, retryAfter)
--- a/core/requests/start_test.go
+++ b/core/requests/start_test.go
@@ -71,9 +71,9 @@
 	require.Zero(t, s.Counters().WaitedUnserved)
 }
 
-// TestWhatCannotBeServedInTimeIsRefusedAtOnce guards against letting a request wait whose caller
+// TestRequestThatCannotBeServedInTimeIsRefusedAtOnce guards against letting a request wait whose caller
 // stops waiting before the start completes.
-func TestWhatCannotBeServedInTimeIsRefusedAtOnce(t *testing.T) {
+func TestRequestThatCannotBeServedInTimeIsRefusedAtOnce(t *testing.T) {
 	_, d := arrive(t, newStarted(), withDeadline("1", "/safe/x", start, 500*time.Millisecond), start)
 	v := d.(requests.Finish).Verdict
 	require.Equal(t, outcome.NotRun, v.Outcome)
--- a/core/requests/timeouts.go
+++ b/core/requests/timeouts.go
@@ -8,19 +8,18 @@
 
 // An attempt is canceled before its deadline only if the request is repeatable and another worker
 // can take it: after headerObjectiveFactor times the route's objective without a response header,
-// if the retry budget allows another attempt by then, and after stallPauseFactor times the
-// route's longest pause between stream events. A worker that hangs, is partitioned, or has become
-// slow thus does not hold requests that others could answer. Shorter timeouts would make more
-// engines read the same prompts.
+// if the retry budget allows another attempt by then, or after stallGapFactor times the route's
+// longest gap between stream events. A worker that hangs, is partitioned, or has become slow thus
+// does not hold requests that others could answer. Shorter timeouts would make more engines read
+// the same prompts.
 //
-// Inputs: the route's objective and longest pause, its MaxAttempts, the retry budget, and the
+// Inputs: the route's objective and longest event gap, its MaxAttempts, the retry budget, and the
 // remaining workers.
 const (
 	headerObjectiveFactor = 2
-	stallPauseFactor      = 4
-	// minHeaderTimeout and minStallTimeout are lower bounds of the timeouts.
-	minHeaderTimeout = 250 * time.Millisecond
-	minStallTimeout  = time.Second
+	stallGapFactor        = 4
+	minHeaderTimeout      = 250 * time.Millisecond
+	minStallTimeout       = time.Second
 )
 
 // responseTimeouts returns how long the next attempt may wait for the response header and between
@@ -31,7 +30,7 @@
 	}
 	header = max(headerObjectiveFactor*time.Duration(c.route.Objective), minHeaderTimeout)
 	if c.route.MaxPause > 0 {
-		stall = max(stallPauseFactor*time.Duration(c.route.MaxPause), minStallTimeout)
+		stall = max(stallGapFactor*time.Duration(c.route.MaxPause), minStallTimeout)
 	}
 	return header, stall
 }
--- a/core/requests/timeouts_test.go
+++ b/core/requests/timeouts_test.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestLateHeaderMovesTheRequestWithinTheBudget guards against canceling attempts beyond the retry
-// budget, or without another worker to go to.
-func TestLateHeaderMovesTheRequestWithinTheBudget(t *testing.T) {
+// TestHeaderTimeoutRetriesWithinTheBudget guards against canceling attempts beyond the retry
+// budget, or without another worker that can take the request.
+func TestHeaderTimeoutRetriesWithinTheBudget(t *testing.T) {
 	s := withHeaderTimes(t, "/resumable/x", 50*time.Millisecond)
 	moved, stayed := 0, 0
 	for i := range 300 {
--- a/core/requests/worker_test.go
+++ b/core/requests/worker_test.go
@@ -40,9 +40,9 @@
 	require.IsType(t, requests.Finish{}, d)
 }
 
-// TestFailingWorkersAreUsedWhereNothingIsLeft guards against refusing everything when all workers
-// are ejected, as the fault is then most likely this host's.
-func TestFailingWorkersAreUsedWhereNothingIsLeft(t *testing.T) {
+// TestEjectedWorkersAreUsedAsLastResort guards against refusing everything when all workers are
+// ejected, as the fault is then most likely this host's.
+func TestEjectedWorkersAreUsedAsLastResort(t *testing.T) {
 	s := ready(2)
 	for i := range 4 {
 		id := fmt.Sprintf("r%d", i)
--- a/core/requests/workerhealth.go
+++ b/core/requests/workerhealth.go
@@ -58,7 +58,8 @@
 	return w
 }
 
-// isSilent reports whether nothing came from the worker in time, not even a refused connection.
+// isSilent reports whether nothing was received from the worker in time, not even a refusal of
+// the connection.
 func isSilent(a outcome.Attempt) bool {
 	switch a := a.(type) {
 	case outcome.NeverSent:
--- a/core/requests/zones.go
+++ b/core/requests/zones.go
@@ -13,8 +13,9 @@
 )
 
 // Another zone becomes unreachable once unreachableThreshold of its workers have failed to
-// respond within failureWindow, without any response from the zone in between; all other zones do
-// once as many workers of several of them have. No request is sent to an unreachable zone.
+// respond within failureWindow, without any response from the zone in between. All other zones
+// become unreachable together once that many workers in several of them have failed, without a
+// response from any of the other zones in between. No request is sent to an unreachable zone.
 // Connections without a request, one per probeInterval, detect when it is reachable again; its
 // ejected workers are then reinstated at once. The host's own zone always counts as reachable.
 //
@@ -23,15 +24,16 @@
 	// unreachableThreshold is a number of workers; with fewer, a few dead workers would make
 	// their whole zone unreachable.
 	unreachableThreshold = 3
-	// failureWindow is how long failures count together; a connection attempt may take 0.4 s.
+	// failureWindow is the time within which failures count together; a connection attempt may
+	// take 0.4 s.
 	failureWindow = 2 * time.Second
 	// probeInterval is the time between two probes of a zone: the timeout of one connection
 	// attempt.
 	probeInterval = 400 * time.Millisecond
 )
 
-// connectFailure is a worker that did not respond.
-type connectFailure struct {
+// failedWorker is a worker that did not respond in time.
+type failedWorker struct {
 	worker ident.Target
 	zone   ident.Zone
 }
@@ -39,14 +41,14 @@
 // reachability holds the workers that recently failed to respond. The zero value has none. Its
 // slice is never modified in place.
 type reachability struct {
-	failures []connectFailure
+	failures []failedWorker
 	// firstFailureAt is when the first of them failed; nextProbeAt is when the next probe is due.
 	firstFailureAt time.Time
 	nextProbeAt    time.Time
 }
 
 // withFailure returns r with a worker added, unless it is already included.
-func (r reachability) withFailure(f connectFailure, now time.Time) reachability {
+func (r reachability) withFailure(f failedWorker, now time.Time) reachability {
 	if len(r.failures) < unreachableThreshold && now.Sub(r.firstFailureAt) > failureWindow {
 		r = reachability{firstFailureAt: now}
 	}
@@ -64,7 +66,7 @@
 // spansZones reports whether enough workers of several zones have failed for all other zones to
 // be unreachable.
 func (r reachability) spansZones() bool {
-	ofAnother := func(f connectFailure) bool { return f.zone != r.failures[0].zone }
+	ofAnother := func(f failedWorker) bool { return f.zone != r.failures[0].zone }
 	return r.isUnreachable() && slices.ContainsFunc(r.failures, ofAnother)
 }
 
@@ -83,7 +85,7 @@
 		return
 	}
 	before := t.isZoneReachable(w.Zone)
-	f := connectFailure{worker: w.ID, zone: w.Zone}
+	f := failedWorker{worker: w.ID, zone: w.Zone}
 	r, _ := t.reachabilityByZone.Get(w.Zone)
 	t.reachabilityByZone = t.reachabilityByZone.With(w.Zone, r.withFailure(f, t.now))
 	t.otherZones = t.otherZones.withFailure(f, t.now)
@@ -147,8 +149,8 @@
 	}
 }
 
-// handleProbeEnd applies the result of a probe.
-func (t *transition) handleProbeEnd(ev ProbeEnded) {
+// handleProbeEnded applies the result of a probe.
+func (t *transition) handleProbeEnded(ev ProbeEnded) {
 	w, ok := t.workers.Get(ev.Worker)
 	switch {
 	case ok && ev.OK:
--- a/core/requests/zones_test.go
+++ b/core/requests/zones_test.go
@@ -100,8 +100,8 @@
 	return outcome.NeverSent{Reason: "i/o timeout", ConnectTimedOut: true}
 }
 
-// TestPartitionedZoneIsAvoidedAtOnce guards against finding out about a partitioned zone worker
-// by worker, and against avoiding it once it is reachable again.
+// TestPartitionedZoneIsAvoidedAtOnce guards against trying each worker of a partitioned zone, and
+// against avoiding the zone once it is reachable again.
 func TestPartitionedZoneIsAvoidedAtOnce(t *testing.T) {
 	for _, kept := range []bool{false, true} {
 		t.Run(fmt.Sprint("kept connections ", kept), func(t *testing.T) { partitionOneZone(t, kept) })
@@ -170,7 +170,7 @@
 	require.Greater(t, others, 60)
 }
 
-// TestRefusedConnectionsMakeNoZoneUnreachable guards against taking refused connections for a
+// TestRefusedConnectionsMakeNoZoneUnreachable guards against treating refused connections as a
 // partition.
 func TestRefusedConnectionsMakeNoZoneUnreachable(t *testing.T) {
 	h := newZoned(t, 4)
