--- a/callers/sink.go
+++ b/callers/sink.go
@@ -27,7 +27,7 @@
 	startedAt       time.Time
 	timeToFirstByte time.Duration
 	// cacheable is set while the response is to be cached. It is cleared once the body exceeds
-	// maxCachedBody.
+	// maxCachedBody. copy holds the response recorded so far.
 	cacheable bool
 	copy      host.Answer
 }
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// record appends to the copy of the response for the cache.
+// record appends p to the copy, or stops recording once the body exceeds maxCachedBody.
 func (s *sink) record(p []byte) {
 	if s.cacheable = s.cacheable && len(s.copy.Body)+len(p) <= maxCachedBody; s.cacheable {
 		s.copy.Body = append(s.copy.Body, p...)
--- a/core/host/fallback.go
+++ b/core/host/fallback.go
@@ -106,7 +106,7 @@
 	t.applyRegistrations(from, m)
 	t.handleCrashEntries(from, m.CrashEntries)
 	t.applyTable(m)
-	t.adoptZones(from, m.Zones)
+	t.applyZones(from, m.Zones)
 	t.recordNewestVersion(m.Version)
 	sent, known := t.popPendingPoll(m.Round)
 	if known && m.Fresh {
