--- a/core/host/admit.go
+++ b/core/host/admit.go
@@ -48,6 +48,10 @@
 	return t.admitLimits(c.account)
 }
 
+// admitService resolves the request's service, through the model if one is named, and applies its
+// timeout and at-most-once rules. Without a model only plain services can be called. If the zone
+// takes only a share of the service, the hash of account and service decides, so that a higher
+// share only adds accounts.
 func (t *transition) admitService(c *call) (Verdict, bool) {
 	if c.request.Model != "" {
 		m, ok := t.config.Models.Get(c.request.Model)
@@ -82,6 +86,8 @@
 	return b
 }
 
+// admitClass picks the request's class: the one it names, which the account must be allowed to use,
+// or else the first that the account allows. An account without classes gets defaultRank.
 func (t *transition) admitClass(c *call) (Verdict, bool) {
 	allowed := c.account.Classes
 	id := c.request.Class
--- a/core/host/call.go
+++ b/core/host/call.go
@@ -159,6 +159,9 @@
 	t.inFlight = t.inFlight.With(id, count+n)
 }
 
+// dispatchCall sends an attempt to the target, unless the deadline has passed, the target has left
+// the configuration, or the request is by then refused for crashes. It records the target's
+// incarnation so that a crash is attributed to the process that ran the attempt.
 func (t *transition) dispatchCall(c call, id ident.Target) {
 	target, ok := t.config.Targets.Get(id)
 	if !ok || !t.now.Before(c.request.Deadline) {
@@ -196,6 +199,10 @@
 	}
 }
 
+// handleTimer continues a call whose timer has expired. If the group's owner has not answered, the
+// call runs without a permit; a queued call repeats its request; a delayed retry starts. The
+// deadline ends all of these. A call that waits for an earlier request's answer gets its denial
+// without the answer.
 func (t *transition) handleTimer(c call) {
 	expired := !t.now.Before(c.request.Deadline)
 	switch {
--- a/core/host/claim.go
+++ b/core/host/claim.go
@@ -67,6 +67,8 @@
 	t.send(earlier.Host, FetchAnswer{Request: earlier.Request, For: c.request.ID})
 }
 
+// handleAnswerOf ends a call that waits for the stored answer of an earlier request. The verdict
+// stays the denial, with that answer attached if it was found.
 func (t *transition) handleAnswerOf(m AnswerOf) {
 	c, ok := t.calls.Get(m.For)
 	if !ok || c.phase != phaseFetchingAnswer {
--- a/core/host/follow.go
+++ b/core/host/follow.go
@@ -132,6 +132,8 @@
 	t.sendChanges(from, m.Version)
 }
 
+// registerHost writes a host's description to the configuration if this replica leads and the
+// description is new or changed. A host registers only itself, and Rev is not compared.
 func (t *transition) registerHost(from ident.Host, h config.Host) {
 	if h.ID != from || !t.raft.LeaseHeld(t.now) {
 		return
@@ -180,6 +182,9 @@
 	}
 }
 
+// handleChanges applies the deltas that continue the held configuration and skips all others. If
+// versions are still missing, it requests them. Replicas ignore the message, as they apply the log
+// instead.
 func (t *transition) handleChanges(from ident.Host, m Changes) {
 	if t.raft.Active() {
 		return
--- a/core/host/layout.go
+++ b/core/host/layout.go
@@ -63,6 +63,7 @@
 	return l
 }
 
+// shardOf assigns a target to a shard by rendezvous hashing.
 func shardOf(t ident.Target, shards int) int {
 	best, bestScore := 0, uint64(0)
 	key := hash.Of(string(t))
@@ -105,6 +106,10 @@
 	return out
 }
 
+// ownerChanged takes over a group, starting from the backup of its chat directory if there is one,
+// or hands over the chats of a group that this host owned. The new owner does not know the permits
+// and queued requests of the old one, so this host reports its permits and repeats its pending
+// requests.
 func (t *transition) ownerChanged(p targetGroup, owner ident.Host) {
 	if owner == t.settings.ID {
 		g := routing.NewGroup(p.id, t.now).WithChatLimit(t.settings.MaxChatsPerGroup)
--- a/core/host/orders.go
+++ b/core/host/orders.go
@@ -83,6 +83,8 @@
 	return t.now.Sub(t.leaderSince) < orderSendTimeout+2*raft.DefaultElection
 }
 
+// issueOrder commits the step's next fencing token, unless that write is already pending. The order
+// is sent once the token is committed.
 func (t *transition) issueOrder(id ident.Plan, step int) {
 	writeID := fmt.Sprintf("auto/order/%s/%d", id, step)
 	if t.writes.Has(writeID) {
@@ -110,6 +112,8 @@
 	}
 }
 
+// sendOrder sends a step's order with its committed token. The engine's state is read first if the
+// engine does not check tokens or an earlier attempt may have taken effect.
 func (t *transition) sendOrder(p plan.Plan, i int) {
 	s := p.Steps[i]
 	target, ok := t.config.Targets.Get(s.Target)
--- a/core/host/owner.go
+++ b/core/host/owner.go
@@ -34,6 +34,9 @@
 	}
 }
 
+// tickGroups redirects queued requests that a less loaded group may serve and refuses those that
+// have waited too long. Every probeInterval it also refreshes the owned groups and probes their
+// targets.
 func (t *transition) tickGroups() {
 	for id, g := range t.groups.All() {
 		next, expired := g.Expire(t.now)
@@ -118,6 +121,9 @@
 	return out
 }
 
+// handleRequestPermit answers a permit request for an owned group. Requests that are evicted from
+// the queue to make room are refused at once. For any other group it replies NotOwner, and the
+// router picks a target itself.
 func (t *transition) handleRequestPermit(from ident.Host, m RequestPermit) {
 	g, ok := t.groups.Get(m.Group.String())
 	if !ok {
@@ -179,6 +185,8 @@
 	t.send(req.Router, PermitReply{Place: req.Permit, Answer: a})
 }
 
+// handleReleasePermit releases a permit or removes its queued request, and grants the freed
+// capacity. It searches all owned groups, as the message does not name the group.
 func (t *transition) handleReleasePermit(m ReleasePermit) {
 	for key, g := range t.groups.All() {
 		if !g.HasRequest(m.Place) {
--- a/core/host/peers.go
+++ b/core/host/peers.go
@@ -27,6 +27,8 @@
 	alive         bool
 }
 
+// tickPeers marks hosts down that have sent no heartbeat for peerTimeout. It sends this host's
+// heartbeat every heartbeatInterval, or earlier if crashes are due to be reported.
 func (t *transition) tickPeers() {
 	for id, p := range t.peers.All() {
 		if p.alive && t.now.Sub(p.lastHeartbeat) > peerTimeout {
@@ -83,6 +85,9 @@
 	return append(append([]config.Host{}, t.settings.Replicas...), t.settings.Neighbours...)
 }
 
+// handlePeerHeartbeat records a host's heartbeat and ignores outdated and duplicate ones. If the
+// host restarted, the permits of its earlier incarnation are dropped. Owners are recomputed if the
+// host came up, restarted, or started or stopped draining.
 func (t *transition) handlePeerHeartbeat(from ident.Host, b Heartbeat) {
 	if b.Host != from {
 		return
@@ -133,6 +138,8 @@
 	return t.ownerExcluding(g, t.settings.ID)
 }
 
+// ownerExcluding returns the owner that ownerOf would return if the excluded host could own no
+// groups. An empty id excludes none.
 func (t *transition) ownerExcluding(g routing.GroupID, excluded ident.Host) (ident.Host, bool) {
 	var sameZone, otherZones []ident.Host
 	for _, h := range t.config.Hosts.All() {
--- a/core/host/place.go
+++ b/core/host/place.go
@@ -81,6 +81,9 @@
 	return false
 }
 
+// requestGroupPermit requests a permit from the group's owner under a new id, so that a late reply
+// to an earlier request is recognized. After maxRedirects the owner may no longer redirect the
+// request. If no reply arrives within permitTimeout, handleTimer runs the call without a permit.
 func (t *transition) requestGroupPermit(c call, id routing.GroupID, final bool) {
 	c.phase = phaseRequestingPermit
 	c.group = id
--- a/core/host/pollreply.go
+++ b/core/host/pollreply.go
@@ -132,6 +132,8 @@
 	t.applyConfig(next)
 }
 
+// unpackTable returns the route table of a reply: a complete one if Base is 0, or else the held
+// table with the delta applied, which requires that this host holds version Base.
 func (t *transition) unpackTable(m PollReply) (config.RouteTable, error) {
 	if m.Base == 0 {
 		return config.UnpackRouteTable(m.Gateway)
--- a/core/host/read.go
+++ b/core/host/read.go
@@ -52,6 +52,8 @@
 	}
 }
 
+// handleReadReply records the version that the leader confirmed. The read is answered once this
+// replica holds it.
 func (t *transition) handleReadReply(m ReadReply) {
 	p, ok := t.reads.Get(m.ID)
 	if !ok {
@@ -72,6 +74,8 @@
 	}
 }
 
+// tickReads answers reads whose deadline has passed as not current, and repeats requests that the
+// leader has not confirmed. A confirmed read only waits for this replica to apply the version.
 func (t *transition) tickReads() {
 	for id, p := range t.reads.All() {
 		switch {
--- a/core/host/repair.go
+++ b/core/host/repair.go
@@ -103,6 +103,9 @@
 	return false
 }
 
+// zoneUnreachable reports whether more than maxLostShare of the service's targets in the zone are
+// lost. That many losses at once more likely mean that the zone is partitioned or down than that
+// its targets failed one by one.
 func (t *transition) zoneUnreachable(s ident.Service, z ident.Zone, lost []ident.Target) bool {
 	total, lostCount := 0, 0
 	for _, target := range t.config.Targets.All() {
--- a/core/host/replica.go
+++ b/core/host/replica.go
@@ -68,6 +68,10 @@
 	t.log(LogReplicaRole, string(t.settings.ID), fmt.Sprintf("%s term=%d leader=%s", e.Role, e.Term, e.Leader))
 }
 
+// applyEntries applies committed entries to the catalog and answers their writes. A changed
+// configuration is applied and sent to the followers once for the whole batch, before reads and
+// writes that waited for it continue. The first route table is not recorded as a commit for the
+// in-force check, as it replaces none.
 func (t *transition) applyEntries(entries []raft.Entry) {
 	before := t.catalog.Config.Version
 	for _, e := range entries {
@@ -116,6 +120,8 @@
 	}
 }
 
+// restoreSnapshot replaces the catalog with a snapshot. It records a commit, as the snapshot may
+// contain a newer route table.
 func (t *transition) restoreSnapshot(s raft.Snapshot) {
 	c, err := catalog.Decode(s.Data)
 	if err != nil {
--- a/core/host/targets.go
+++ b/core/host/targets.go
@@ -45,6 +45,10 @@
 	return slices.ContainsFunc(t.loadBound(id).OtherGroups, func(l routing.GroupLoad) bool { return l.Usable > 0 })
 }
 
+// handleLoadReported applies a load report to the target's health and, if this host owns the
+// target's group, to its load. A failed probe counts against the health only; an outdated or
+// duplicate report changes neither. The restart check comes first because it needs the incarnation
+// known before.
 func (t *transition) handleLoadReported(ev LoadReported) {
 	t.checkTargetRestart(ev)
 	h, _ := t.health.Get(ev.Target)
@@ -67,6 +71,8 @@
 	}
 }
 
+// handleTargetsListed records each configured target's state in the platform's list. A target that
+// is not listed is absent, and is used only while it has recently answered.
 func (t *transition) handleTargetsListed(targets []ListedTarget) {
 	listings := map[ident.Target]health.Listing{}
 	for _, l := range targets {
--- a/core/host/write.go
+++ b/core/host/write.go
@@ -68,6 +68,10 @@
 	return w
 }
 
+// sendWrite proposes a write if this replica leads, or else forwards it to the leader. A committed
+// or superseded write only waits until its version is in force. If the configuration has changed
+// since the log entry was made, the entry is rebuilt, as a patch fits only the table it was made
+// from.
 func (t *transition) sendWrite(p pendingWrite) {
 	if p.inForce > 0 || t.isSuperseded(p.write) {
 		t.awaitInForce(p)
@@ -115,6 +119,8 @@
 	}
 }
 
+// tickWrites resends unanswered writes. A write whose deadline has passed ends with an unknown
+// result, as it may still be committed.
 func (t *transition) tickWrites() {
 	for id, p := range t.writes.All() {
 		switch {
@@ -163,6 +169,9 @@
 	}
 }
 
+// handleWriteAnswered completes a pending write. A patch whose base table has changed is rebuilt
+// and resent instead. A zone order that the leader did not support stays pending, and is resent
+// until its deadline.
 func (t *transition) handleWriteAnswered(id string, r catalog.Result) {
 	p, ok := t.writes.Get(id)
 	if !ok {
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -104,6 +104,9 @@
 	now          time.Time
 }
 
+// nextChange returns one change, by priority: remove a member whose disk was replaced, promote a
+// caught-up learner while voters are missing, remove a silent member, add a learner. A silent voter
+// is removed only if a caught-up learner can replace it.
 func (c memberCheck) nextChange(voters int) (raft.ChangeMember, bool) {
 	if id, ok := c.memberWithReplacedDisk(); ok {
 		return raft.ChangeMember{Member: raft.Member{ID: id}, Remove: true}, true
--- a/core/routing/group.go
+++ b/core/routing/group.go
@@ -171,6 +171,7 @@
 	return t
 }
 
+// recount recomputes totalLoad and usableTargets. Unusable targets count in neither.
 func (g Group) recount() Group {
 	g.totalLoad, g.usableTargets = 0, 0
 	for _, t := range g.targets {
--- a/core/routing/permits.go
+++ b/core/routing/permits.go
@@ -45,6 +45,8 @@
 	return g.withTarget(i, t)
 }
 
+// withPermit adds a permit to the load of its account and target, and records the target as the
+// chat's location.
 func (g Group) withPermit(p Permit, now time.Time) Group {
 	g.permits = g.permits.With(p.Place, p)
 	n, _ := g.inFlightByAccount.Get(p.Account)
@@ -55,6 +57,8 @@
 	return g.withChatLocation(p.Key, ChatLocation{Target: p.Target})
 }
 
+// withoutPermit removes a permit from the load of its account and target. The chat's location
+// stays, so that the chat returns to the same target.
 func (g Group) withoutPermit(p Permit, now time.Time) Group {
 	g.permits = g.permits.Without(p.Place)
 	n, _ := g.inFlightByAccount.Get(p.Account)
--- a/core/routing/place.go
+++ b/core/routing/place.go
@@ -153,6 +153,9 @@
 	return best
 }
 
+// leastLoadedTarget returns the index of the eligible target with the lowest load that has capacity
+// within limit, or -1. During its slow start a target counts as more loaded than it is. Ties are
+// broken by rendezvous score.
 func (g Group) leastLoadedTarget(req PermitRequest, limit int, now time.Time) int {
 	best := -1
 	var bestLoad float64
--- a/core/routing/queue.go
+++ b/core/routing/queue.go
@@ -48,6 +48,7 @@
 	return false
 }
 
+// with adds a request as the newest of its rank and account.
 func (q queue) with(req PermitRequest, now time.Time) queue {
 	q.seq++
 	req.seq, req.queuedAt = q.seq, now
@@ -60,6 +61,8 @@
 	return q
 }
 
+// without removes a request. Accounts and ranks without requests are removed too, so that only
+// those that wait are visited.
 func (q queue) without(id ident.PermitID) queue {
 	req, ok := q.byPermit.Get(id)
 	if !ok {
@@ -102,6 +105,8 @@
 	return PermitRequest{}, false
 }
 
+// next returns the oldest request of the account that would have the smallest share after a grant:
+// requests in flight, plus this one, divided by the account's weight. The older request wins a tie.
 func (r rankQueue) next(inFlight table.Table[ident.Account, int], fullModels []ident.Model) (PermitRequest, bool) {
 	var best PermitRequest
 	var bestShare float64
@@ -135,6 +140,7 @@
 	return req.Weight
 }
 
+// expire removes and returns the requests whose deadline or maximum wait has passed.
 func (q queue) expire(now time.Time) (queue, []PermitRequest) {
 	var expired []PermitRequest
 	for _, req := range q.byPermit.All() {
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -53,6 +53,8 @@
 	}
 }
 
+// writeRefusal writes an error response. If another host can take the request, it also closes the
+// connection, so that the caller's retry connects again and may reach another host.
 func (c *serverCall) writeRefusal(v requests.Verdict) {
 	h := c.writer.Header()
 	if v.TryOtherHost {
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -86,6 +86,8 @@
 	}
 }
 
+// takeIdle removes and returns the worker's most recently added idle connection that has not
+// expired, or nil.
 func (p *Pool) takeIdle(id workerProcess, now time.Time) *workerConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/peers/server.go
+++ b/peers/server.go
@@ -192,6 +192,9 @@
 	}
 }
 
+// serveConn serves the calls of one connection. It holds a handshake slot until the first batch is
+// delivered, HandshakeSlotTimeout has passed or the connection ends. It closes the connection if no
+// Hello arrives within helloTimeout.
 func (s *Server) serveConn(conn net.Conn) {
 	defer func() {
 		s.mu.Lock()
