--- a/core/requests/attempt.go
+++ b/core/requests/attempt.go
@@ -81,7 +81,7 @@
 func (t *transition) afterDecline(c call, r outcome.Declined) {
 	t.counters.Declined++
 	if r.Leaving {
-		// Another process has the address.
+		// Another process declined at the worker's address, so the worker's process has ended.
 		t.recordProcessEnd(c.target, c.incarnation)
 	} else {
 		c.reachedWorkers++
--- a/core/requests/fleet_test.go
+++ b/core/requests/fleet_test.go
@@ -187,8 +187,8 @@
 	// it.
 	late  int
 	waits []float64
-	// declined counts the attempts that met another process, refused the requests without an
-	// answer.
+	// declined counts the attempts declined by another process at the engine's address, refused
+	// the requests without an answer.
 	declined, refused int
 }
 
@@ -461,7 +461,7 @@
 			engines++
 		}
 	}
-	own, shared, moved, again := f.planRead(e, j)
+	own, shared, copied, reread := f.planRead(e, j)
 	j.unread = float64(own + shared)
 	if f.now.Before(f.from) {
 		return
@@ -484,8 +484,8 @@
 		g.tokens += p.Tokens
 	}
 	g.read += own + shared
-	g.copied += moved
-	g.readAgain += again
+	g.copied += copied
+	g.readAgain += reread
 	promised := requests.DefaultLoadFactor*float64(total)/float64(engines) + promisedSlack
 	if float64(len(e.jobs)) > promised {
 		g.overBound++
@@ -497,9 +497,9 @@
 const promisedSlack = 3
 
 // planRead returns the tokens that an engine must read of a prompt: of the request's own part and
-// of shared parts. copied are shared tokens copied from the cache source, again those read
+// of shared parts. copied are shared tokens copied from the cache source, reread those read
 // although another engine has them cached.
-func (f *simFleet) planRead(e *simEngine, j *job) (own, shared, moved, again int) {
+func (f *simFleet) planRead(e *simEngine, j *job) (own, shared, copied, reread int) {
 	source := f.byAddr[j.from]
 	holds := func(e *simEngine, part string) bool {
 		if e == nil {
@@ -517,18 +517,18 @@
 			own = p.Tokens
 		case here:
 		case there:
-			moved += p.Tokens
+			copied += p.Tokens
 		default:
 			shared += p.Tokens
 			if f.cachedElsewhere(e, p.ID) {
-				again += p.Tokens
+				reread += p.Tokens
 			}
 		}
 	}
 	for _, p := range j.parts[:len(j.parts)-1] {
 		e.cachePart(p, f.now)
 	}
-	return own, shared, moved, again
+	return own, shared, copied, reread
 }
 
 // cachedElsewhere reports whether another engine has used a part recently.
--- a/core/requests/workerhealth.go
+++ b/core/requests/workerhealth.go
@@ -8,10 +8,11 @@
 	"github.com/yardhall/yardhall/core/outcome"
 )
 
-// The result of each attempt updates its worker's health. Failures count toward its ejection, an
-// answer resets the count, and a failed connection ejects the worker at once (package health has
-// the durations). A worker that declines is avoided for declineAvoidTime; one that declines
-// because it is leaving, or because another worker has its address, is not used again.
+// The result of each attempt updates its worker's health. Interrupted attempts and server
+// errors count toward its ejection, any other answer resets the count, and a failed connection
+// ejects the worker at once (package health has the durations). A worker that declines is avoided
+// for declineAvoidTime. If another process at its address declined (Leaving), the worker's process
+// has ended: it gets no requests until it restarts or registers another address.
 //
 // Inputs: how the attempt ended, and the worker's health so far.
 
--- a/core/requests/zones_test.go
+++ b/core/requests/zones_test.go
@@ -74,21 +74,21 @@
 
 // countAttempts retries a request until it succeeds, and returns the number of attempts. Attempts
 // in partitioned zones time out.
-func (h *zonedHost) countAttempts(cut ...ident.Zone) int {
-	d, tries := h.sendRequest(), 1
+func (h *zonedHost) countAttempts(partitioned ...ident.Zone) int {
+	d, attempts := h.sendRequest(), 1
 	for {
 		var result outcome.Attempt = outcome.Answered{Status: 200}
-		for _, zone := range cut {
+		for _, zone := range partitioned {
 			if h.zones[d.Worker.ID] == zone {
 				result = h.timeout()
 			}
 		}
 		next := h.feed(requests.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Result: result, CallerWaiting: true})
-		again, ok := next.(requests.Dispatch)
+		retried, ok := next.(requests.Dispatch)
 		if !ok {
-			return tries
+			return attempts
 		}
-		d, tries = again, tries+1
+		d, attempts = retried, attempts+1
 	}
 }
 
@@ -108,15 +108,15 @@
 	}
 }
 
-func partitionOneZone(t *testing.T, kept bool) {
+func partitionOneZone(t *testing.T, keepAlive bool) {
 	h := newZoned(t, 30)
-	h.keepAlive = kept
-	misses := 0
+	h.keepAlive = keepAlive
+	failures := 0
 	for range 200 {
-		misses += h.countAttempts("y") - 1
+		failures += h.countAttempts("y") - 1
 		h.now = h.now.Add(10 * time.Millisecond)
 	}
-	require.LessOrEqual(t, misses, 5)
+	require.LessOrEqual(t, failures, 5)
 	require.NotEmpty(t, h.probes)
 	for _, w := range h.probes {
 		require.EqualValues(t, "y", w.Zone)
