--- a/core/requests/notice_test.go
+++ b/core/requests/notice_test.go
@@ -178,11 +178,11 @@
 func TestWorkerWithSoftBackoffIsALastResort(t *testing.T) {
 	s := ready(2)
 	s, d := arrive(t, s, request("first", "/unsafe/x"), start)
-	reluctant := d.(requests.Dispatch)
-	s = withNotice(s, reluctant, requests.Notice{SoftBackoff: 2 * time.Second}, start)
-	s, d = decline(t, s, reluctant, start)
+	backingOff := d.(requests.Dispatch)
+	s = withNotice(s, backingOff, requests.Notice{SoftBackoff: 2 * time.Second}, start)
+	s, d = decline(t, s, backingOff, start)
 	other := d.(requests.Dispatch)
-	require.NotEqual(t, reluctant.Worker.ID, other.Worker.ID)
+	require.NotEqual(t, backingOff.Worker.ID, other.Worker.ID)
 	later := start.Add(1900 * time.Millisecond)
 	for i := range 20 {
 		_, d = arrive(t, s, request(fmt.Sprint("r-", i), "/unsafe/x"), later)
--- a/core/requests/retry_test.go
+++ b/core/requests/retry_test.go
@@ -51,7 +51,7 @@
 		hosts, perSecond, seconds = 60, 120, 40
 		extra, window             = 300.0, 10
 	)
-	run := func(lends bool) (most, total int) {
+	measure := func(lends bool) (most, total int) {
 		states := make([]requests.State, hosts)
 		for i := range states {
 			states[i] = readyWith(requests.Settings{Zone: "z", RetryExtra: extra}, 8).WithHostCount(hosts)
@@ -102,8 +102,8 @@
 		}
 		return most, total
 	}
-	_, alone := run(false)
-	most, together := run(true)
+	_, alone := measure(false)
+	most, together := measure(true)
 	allowance := requests.RetryBudgetFraction * (requests.DefaultRetryShare*perSecond*window + extra)
 	t.Logf("in all: %d alone, %d with lending, of which %d in %d s, %.0f allowed", alone, together, most, window, allowance)
 	require.LessOrEqual(t, float64(most), allowance)
--- a/core/requests/timeouts_test.go
+++ b/core/requests/timeouts_test.go
@@ -46,7 +46,7 @@
 // budget, or without another worker that can take the request.
 func TestHeaderTimeoutRetriesWithinTheBudget(t *testing.T) {
 	s := withHeaderTimes(t, "/resumable/x", 50*time.Millisecond)
-	moved, stayed := 0, 0
+	canceled, notCanceled := 0, 0
 	for i := range 300 {
 		var d requests.Decision
 		s, d = arrive(t, s, request(fmt.Sprint(i), "/resumable/x"), start)
@@ -54,7 +54,7 @@
 		next, decisions := requests.Reduce(s, requests.HeaderTimedOut{Request: sent.Request, Attempt: 1, Waited: sent.HeaderTimeout}, start)
 		s = next
 		if len(decisions) == 0 {
-			stayed++
+			notCanceled++
 			continue
 		}
 		require.Equal(t, requests.CancelAttempt{Request: sent.Request}, only(t, decisions))
@@ -63,11 +63,11 @@
 		again, ok := only(t, decisions).(requests.Dispatch)
 		require.True(t, ok, "request %d was canceled without another worker to go to", i)
 		require.NotEqual(t, sent.Worker.ID, again.Worker.ID)
-		moved++
+		canceled++
 	}
-	require.Positive(t, moved)
-	require.Positive(t, stayed)
-	require.LessOrEqual(t, float64(moved), requests.RetryBudgetFraction*(requests.DefaultRetryExtra+requests.DefaultRetryShare*360))
+	require.Positive(t, canceled)
+	require.Positive(t, notCanceled)
+	require.LessOrEqual(t, float64(canceled), requests.RetryBudgetFraction*(requests.DefaultRetryExtra+requests.DefaultRetryShare*360))
 }
 
 // TestResendPausesFollowHeaderTimes guards against pauses that ignore how long answers take to
--- a/core/requests/worker.go
+++ b/core/requests/worker.go
@@ -95,7 +95,7 @@
 func (t *transition) handleRegistration(from ident.Host, r registry.Worker) {
 	previous, known := t.workers.Get(r.ID)
 	// Workers that are gone are kept, so that an older registration from another replica does not
-	// bring them back.
+	// make them available again.
 	if r.State == registry.Gone && known {
 		r.Pool, r.Address, r.Zone, r.Slots = previous.Pool, previous.Address, previous.Zone, previous.Slots
 	}
