--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -50,7 +50,8 @@
 	// Declined means that the target reported that it did not run the request.
 	Declined struct {
 		Reason string
-		// Leaving is set if the target declined because it is leaving.
+		// Leaving is set if the target declined because it is leaving, or if another process
+		// answered at its address (status 421).
 		Leaving bool
 		// RetryAfter is the delay that the target asks for before another attempt; 0 if it
 		// gave none.
