--- a/core/host/crashes_test.go
+++ b/core/host/crashes_test.go
@@ -50,7 +50,7 @@
 func (f *crashFleet) requireRefused(bad string) {
 	f.t.Helper()
 	f.t.Logf("%s: %d crashes, sent %d times after the third", bad, len(f.crashes[bad]), f.sentAfterCrashes(bad))
-	require.GreaterOrEqual(f.t, len(f.crashes[bad]), 3, "the load that it is about")
+	require.GreaterOrEqual(f.t, len(f.crashes[bad]), 3, "the bad request crashed too few workers")
 	require.LessOrEqual(f.t, f.sentAfterCrashes(bad), maxSentAfterCrashes, "%d crashes in total", len(f.crashes[bad]))
 }
 
@@ -211,7 +211,7 @@
 		}
 		f.advance(2 * time.Second)
 	}
-	require.Greater(t, len(f.crashes["/x/other"]), 10, "the load that it is about")
+	require.Greater(t, len(f.crashes["/x/other"]), 10, "too few workers crashed under the popular request")
 	f.requireOthersServed()
 }
 
--- a/core/host/listedcrashes_test.go
+++ b/core/host/listedcrashes_test.go
@@ -216,7 +216,7 @@
 	f := newListedFleet(t, 5, 20)
 	f.runLoad(15 * time.Second)
 	f.advance(2 * time.Second)
-	require.GreaterOrEqual(t, len(f.crashes), 3, "the load that it is about")
+	require.GreaterOrEqual(t, len(f.crashes), 3, "the bad request crashed too few targets")
 	require.LessOrEqual(t, f.sentAfterCrashes(), maxSentAfterCrashes, "%d crashes in total", len(f.crashes))
 	for id, v := range f.verdicts {
 		if id[0] == 'g' {
@@ -231,7 +231,7 @@
 	f := newListedFleet(t, 4, 20)
 	f.partitioned["h3"] = true
 	f.runLoad(8 * time.Second)
-	require.GreaterOrEqual(t, len(f.crashes), 3, "the load that it is about")
+	require.GreaterOrEqual(t, len(f.crashes), 3, "the bad request crashed too few targets")
 	f.partitioned["h3"] = false
 	for _, id := range []ident.Host{"h0", "h1"} {
 		f.start(id, f.states[id].Config(), 2)
--- a/core/requests/load_test.go
+++ b/core/requests/load_test.go
@@ -22,7 +22,7 @@
 	together := newSimFleet(l, 1).run(9 * time.Second)
 	t.Log("unreported:", alone)
 	t.Log("reported:", together)
-	require.Greater(t, alone.refused, 100, "the load that it is about")
+	require.Greater(t, alone.refused, 100, "too few requests were refused while replacements are unreported")
 	require.Less(t, 4*together.declined, alone.declined)
 	require.Less(t, 8*together.refused, alone.refused)
 }
