--- a/core/requests/retry_test.go
+++ b/core/requests/retry_test.go
@@ -51,7 +51,7 @@
 		hosts, perSecond, seconds = 60, 120, 40
 		extra, window             = 300.0, 10
 	)
-	measure := func(lends bool) (most, total int) {
+	measure := func(borrows bool) (most, total int) {
 		states := make([]requests.State, hosts)
 		for i := range states {
 			states[i] = readyWith(requests.Settings{Zone: "z", RetryExtra: extra}, 8).WithHostCount(hosts)
@@ -83,7 +83,7 @@
 					own = append(own, states[h].Loads(now))
 				}
 				reports = append(reports, loads.Sum(slices.Values(own)))
-				if late := len(reports) - 3; lends && late >= 0 { // About a second old.
+				if late := len(reports) - 3; borrows && late >= 0 { // About a second old.
 					for h := range states {
 						states[h], _ = requests.Reduce(states[h], requests.LoadsReported{Loads: reports[late], AsOf: now.Add(-time.Second)}, now)
 					}
@@ -105,7 +105,7 @@
 	_, alone := measure(false)
 	most, together := measure(true)
 	allowance := requests.RetryBudgetFraction * (requests.DefaultRetryShare*perSecond*window + extra)
-	t.Logf("in all: %d alone, %d with lending, of which %d in %d s, %.0f allowed", alone, together, most, window, allowance)
+	t.Logf("in all: %d alone, %d with borrowed retries, of which %d in %d s, %.0f allowed", alone, together, most, window, allowance)
 	require.LessOrEqual(t, float64(most), allowance)
 	require.Greater(t, together, alone)
 }
