--- a/core/crashes/evidence.go
+++ b/core/crashes/evidence.go
@@ -69,11 +69,11 @@
 	if at, ok := e.answered.Get(content); ok && !c.EndedAt.After(at) {
 		return e
 	}
-	have, _ := e.byContent.Get(content)
-	if c.Attempt != "" && slices.Contains(have.attempts, c.Attempt) {
+	record, _ := e.byContent.Get(content)
+	if c.Attempt != "" && slices.Contains(record.attempts, c.Attempt) {
 		return e
 	}
-	updated := slices.Clone(have.crashes)
+	updated := slices.Clone(record.crashes)
 	if i := slices.IndexFunc(updated, c.isSameCrash); i >= 0 {
 		updated[i].AnswerStarted = updated[i].AnswerStarted && c.AnswerStarted
 		if c.SentAt.After(updated[i].SentAt) {
@@ -84,10 +84,10 @@
 	}
 	slices.SortStableFunc(updated, func(a, b Crash) int { return a.EndedAt.Compare(b.EndedAt) })
 	updated = updated[max(0, len(updated)-maxCrashes):]
-	if len(have.crashes) == 0 && e.byContent.Len() >= maxContents {
+	if len(record.crashes) == 0 && e.byContent.Len() >= maxContents {
 		e = e.withoutOldest()
 	}
-	attempts := append(slices.Clone(have.attempts), c.Attempt)
+	attempts := append(slices.Clone(record.attempts), c.Attempt)
 	e.byContent = e.byContent.With(content, crashRecord{
 		crashes: updated, attempts: attempts[max(0, len(attempts)-maxAttempts):],
 	})
@@ -103,23 +103,23 @@
 	if e.answered.Len() > maxContents {
 		e.answered = table.Table[Content, time.Time]{}.With(content, answeredAt)
 	}
-	have, ok := e.byContent.Get(content)
+	record, ok := e.byContent.Get(content)
 	if !ok {
 		return e
 	}
-	later := slices.DeleteFunc(slices.Clone(have.crashes), func(c Crash) bool { return !c.EndedAt.After(answeredAt) })
+	later := slices.DeleteFunc(slices.Clone(record.crashes), func(c Crash) bool { return !c.EndedAt.After(answeredAt) })
 	if len(later) == 0 {
 		e.byContent = e.byContent.Without(content)
 		return e
 	}
-	e.byContent = e.byContent.With(content, crashRecord{crashes: later, attempts: have.attempts})
+	e.byContent = e.byContent.With(content, crashRecord{crashes: later, attempts: record.attempts})
 	return e
 }
 
 // Expire drops requests whose last crash is older than Retention, and old answers.
 func (e Evidence) Expire(now time.Time) Evidence {
-	for content, known := range e.byContent.All() {
-		if now.Sub(lastCrashAt(known.crashes)) > Retention {
+	for content, record := range e.byContent.All() {
+		if now.Sub(lastCrashAt(record.crashes)) > Retention {
 			e.byContent = e.byContent.Without(content)
 		}
 	}
@@ -135,8 +135,8 @@
 func (e Evidence) withoutOldest() Evidence {
 	var oldest Content
 	var at time.Time
-	for content, known := range e.byContent.All() {
-		if last := lastCrashAt(known.crashes); oldest == "" || last.Before(at) {
+	for content, record := range e.byContent.All() {
+		if last := lastCrashAt(record.crashes); oldest == "" || last.Before(at) {
 			oldest, at = content, last
 		}
 	}
@@ -192,16 +192,16 @@
 // candidates returns the requests that may have crashed several workers, the most likely first.
 func (e Evidence) candidates() []candidate {
 	unstarted := workerCrashes{}
-	for _, known := range e.byContent.All() {
-		for _, c := range known.crashes {
+	for _, record := range e.byContent.All() {
+		for _, c := range record.crashes {
 			if !c.AnswerStarted {
 				unstarted.add([]Crash{c})
 			}
 		}
 	}
 	var out []candidate
-	for content, known := range e.byContent.All() {
-		possible := slices.DeleteFunc(slices.Clone(known.crashes), func(c Crash) bool { return c.AnswerStarted && unstarted.has(c) })
+	for content, record := range e.byContent.All() {
+		possible := slices.DeleteFunc(slices.Clone(record.crashes), func(c Crash) bool { return c.AnswerStarted && unstarted.has(c) })
 		if n := countAttributed(possible); n >= crashesToWatch {
 			out = append(out, candidate{content: content, crashes: possible, attributed: n})
 		}
--- a/core/crashes/list.go
+++ b/core/crashes/list.go
@@ -24,12 +24,12 @@
 
 // supersedes reports whether an entry replaces another one of the same request. Times from other
 // hosts do not include the time in transit, so between nearly equal times the entry with more
-// crashes wins, on every host alike.
-func (e Entry) supersedes(have Entry) bool {
-	if d := e.At.Sub(have.At); d.Abs() > sameCrashTolerance {
+// crashes wins, so that all hosts keep the same one.
+func (e Entry) supersedes(other Entry) bool {
+	if d := e.At.Sub(other.At); d.Abs() > sameCrashTolerance {
 		return d > 0
 	}
-	return e.Crashes > have.Crashes
+	return e.Crashes > other.Crashes
 }
 
 // List holds the requests that crash workers, as this host knows them. Merging lists of several
@@ -51,8 +51,8 @@
 // entries with the fewest crashes are dropped first, among them the oldest.
 func (l List) With(now time.Time, entries ...Entry) List {
 	for _, e := range entries {
-		have, known := l.byContent.Get(e.Content)
-		if e.Content == "" || now.Sub(e.At) > Retention || known && !e.supersedes(have) {
+		current, found := l.byContent.Get(e.Content)
+		if e.Content == "" || now.Sub(e.At) > Retention || found && !e.supersedes(current) {
 			continue
 		}
 		if e.At.After(now) {
