--- a/core/requests/decision.go
+++ b/core/requests/decision.go
@@ -37,7 +37,7 @@
 		// Worker does not; empty if there is none.
 		CacheFrom string
 		// HeaderTimeout is when a HeaderTimedOut is due without a response header; StallTimeout
-		// bounds the pause between events. 0 means until the deadline.
+		// bounds the gap between events. 0 means until the deadline.
 		HeaderTimeout time.Duration
 		StallTimeout  time.Duration
 		Inputs        Inputs
--- a/core/requests/dispatch.go
+++ b/core/requests/dispatch.go
@@ -83,11 +83,11 @@
 	t.addInFlight(picked.worker.ID)
 	t.recordColdSend(picked.worker, c.sentAt)
 	t.calls = t.calls.With(c.req.ID, c)
-	header, stall := c.responseTimeouts()
+	header, eventGap := c.responseTimeouts()
 	t.out = append(t.out, Dispatch{
 		Request: c.req.ID, Attempt: c.attempt, Worker: picked.worker.Worker, Route: c.route,
 		Account: c.account, Content: c.content, Rank: c.rank, Deadline: c.req.Deadline, Engine: c.pool.Engine,
-		CacheFrom: picked.cacheFrom, HeaderTimeout: header, StallTimeout: stall,
+		CacheFrom: picked.cacheFrom, HeaderTimeout: header, StallTimeout: eventGap,
 		Inputs: t.decisionInputs(picked),
 	})
 }
--- a/core/requests/timeouts.go
+++ b/core/requests/timeouts.go
@@ -8,7 +8,7 @@
 
 // An attempt is canceled before its deadline only if the request is repeatable and another worker
 // can take it: after headerObjectiveFactor times the route's objective without a response header,
-// if the retry budget allows another attempt by then, or after stallGapFactor times the route's
+// if the retry budget allows another attempt by then, or after eventGapFactor times the route's
 // longest gap between stream events. A worker that hangs, is partitioned, or has become slow thus
 // does not hold requests that others could answer. Shorter timeouts would make more engines read
 // the same prompts.
@@ -17,22 +17,22 @@
 // remaining workers.
 const (
 	headerObjectiveFactor = 2
-	stallGapFactor        = 4
+	eventGapFactor        = 4
 	minHeaderTimeout      = 250 * time.Millisecond
-	minStallTimeout       = time.Second
+	minEventGapTimeout       = time.Second
 )
 
 // responseTimeouts returns how long the next attempt may wait for the response header and between
 // events; 0 means until the deadline.
-func (c call) responseTimeouts() (header, stall time.Duration) {
+func (c call) responseTimeouts() (header, eventGap time.Duration) {
 	if !c.route.Repeatable() || c.reachedWorkers+1 >= c.route.MaxAttempts {
 		return 0, 0
 	}
 	header = max(headerObjectiveFactor*time.Duration(c.route.Objective), minHeaderTimeout)
 	if c.route.MaxPause > 0 {
-		stall = max(stallGapFactor*time.Duration(c.route.MaxPause), minStallTimeout)
+		eventGap = max(eventGapFactor*time.Duration(c.route.MaxPause), minEventGapTimeout)
 	}
-	return header, stall
+	return header, eventGap
 }
 
 // handleHeaderTimeout cancels the current attempt if another one is allowed. The retry is charged
