--- a/core/requests/fleet_test.go
+++ b/core/requests/fleet_test.go
@@ -204,7 +204,7 @@
 }
 
 func (f fleetResults) String() string {
-	return fmt.Sprintf("%d requests: first engine %.3f, of long prefixes %.3f, beyond the fifth %.3f; of %d thousand tokens read %.3f, again %.4f, moved %.3f; over the bound %.4f, worst %.2f; late %.4f, first token p50 %.0f p99 %.0f ms; declined %d, refused %d",
+	return fmt.Sprintf("%d requests: sent to the first engine in rendezvous order %.3f, of those with long prefixes %.3f; to engines after the fifth %.3f; %d thousand prompt tokens: read by engines %.3f, read though cached at another engine %.4f, copied from another engine %.3f; requests above the load bound %.4f, highest ratio to the bound %.2f; late %.4f, first token p50 %.0f p99 %.0f ms; declined %d, refused %d",
 		f.requests, f.share(f.first), float64(f.longFirst)/float64(max(1, f.long)), f.share(f.beyondFifth), f.tokens/1000, float64(f.read)/float64(max(1, f.tokens)),
 		float64(f.readAgain)/float64(max(1, f.tokens)), float64(f.copied)/float64(max(1, f.tokens)),
 		f.share(f.overBound), f.worst, f.share(f.late), f.wait(0.5), f.wait(0.99), f.declined, f.refused)
