--- a/operators/client.go
+++ b/operators/client.go
@@ -99,7 +99,7 @@
 		return "", nil
 	}
 	if out != nil {
-		err = errors.Wrap(json.Unmarshal(body, out), "decode answer")
+		err = errors.Wrap(json.Unmarshal(body, out), "decode response")
 	}
 	return resp.Header.Get("ETag"), err
 }
--- a/targets/client.go
+++ b/targets/client.go
@@ -199,7 +199,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return errors.Errorf("target responded with status %s", resp.Status)
 	}
-	return errors.Wrap(json.Unmarshal(body, v), "decode answer")
+	return errors.Wrap(json.Unmarshal(body, v), "decode response")
 }
 
 func closeBody(resp *http.Response) { _ = resp.Body.Close() }
