--- a/core/host/claim_test.go
+++ b/core/host/claim_test.go
@@ -88,6 +88,8 @@
 	return ""
 }
 
+// TestUnclaimedRequestDoesNotRun guards against running an at-most-once request whose claim was
+// not granted in time.
 func TestUnclaimedRequestDoesNotRun(t *testing.T) {
 	r := newRouter(t)
 	r.arrive("r1", "/once", "k")
@@ -108,6 +110,8 @@
 	t.Fatal("never finished")
 }
 
+// TestAtMostOnceIsRetriedOnlyIfNotRun guards against sending an at-most-once request again after an
+// attempt that may have run.
 func TestAtMostOnceIsRetriedOnlyIfNotRun(t *testing.T) {
 	r := newRouter(t)
 	r.arrive("r1", "/once", "k")
@@ -126,6 +130,8 @@
 	require.Equal(t, outcome.Unknown, r.claimOutcome())
 }
 
+// TestClaimOfAbandonedRequestIsEnded guards against a claim that stays open if its caller
+// disconnects before it is granted.
 func TestClaimOfAbandonedRequestIsEnded(t *testing.T) {
 	r := newRouter(t)
 	r.arrive("r1", "/once", "k")
@@ -136,6 +142,8 @@
 	require.Equal(t, outcome.NotRun, r.claimOutcome())
 }
 
+// TestRefusalWithKeyIsNotRunOnlyAfterClaim guards against reporting a refused request as not run
+// while an earlier attempt with its idempotency key may have run.
 func TestRefusalWithKeyIsNotRunOnlyAfterClaim(t *testing.T) {
 	r := newRouter(t)
 	r.arrive("r1", "/free", "")
@@ -148,8 +156,8 @@
 	r.reduce(host.AttemptEnded{Request: "r1", Attempt: 1, Result: outcome.Answered{}})
 	r.arrive("r5", "/once", "k")
 	r.answerClaim("r5", catalog.ClaimTaken, catalog.Claim{Ended: outcome.Ran, Host: "other"})
-	_, told := effect[host.Finish](r)
-	require.False(t, told, "the earlier answer must be fetched first")
+	_, finished := effect[host.Finish](r)
+	require.False(t, finished, "the earlier answer must be fetched first")
 	r.reduce(host.MessageReceived{From: "other", Message: host.AnswerOf{For: "r5", Answer: &host.Answer{Status: 200, Body: []byte("first")}}})
 	require.Equal(t, outcome.Ran, r.verdict().Outcome)
 	require.Equal(t, []byte("first"), r.verdict().Answer.Body)
--- a/core/host/crashes_test.go
+++ b/core/host/crashes_test.go
@@ -132,16 +132,16 @@
 // TestPartitionedHostLearnsRefusal guards against a host or a replica that, after a partition,
 // still sends a request refused by the others.
 func TestPartitionedHostLearnsRefusal(t *testing.T) {
-	for _, cut := range []ident.Host{entryName(2), replicaName(0)} {
+	for _, partitioned := range []ident.Host{entryName(2), replicaName(0)} {
 		f := newCrashFleet(t, 6, 24, 5)
-		f.partition(cut, true)
+		f.partition(partitioned, true)
 		f.runLoad(8*time.Second, 400*time.Millisecond, badRequest)
-		f.partition(cut, false)
+		f.partition(partitioned, false)
 		f.advance(crashSpreadTime)
-		require.NotZero(t, f.states[cut].Requests().CrashList().Len())
+		require.NotZero(t, f.states[partitioned].Requests().CrashList().Len())
 		sent := len(f.sentAt[badRequest])
 		f.runLoad(5*time.Second, 400*time.Millisecond, badRequest)
-		require.Equal(t, sent, len(f.sentAt[badRequest]), cut)
+		require.Equal(t, sent, len(f.sentAt[badRequest]), partitioned)
 	}
 }
 
@@ -211,7 +211,7 @@
 		}
 		f.advance(2 * time.Second)
 	}
-	require.Greater(t, len(f.crashes["/x/other"]), 10, "too few workers crashed under the popular request")
+	require.Greater(t, len(f.crashes["/x/other"]), 10, "too few workers crashed while they ran the popular request")
 	f.requireOthersServed()
 }
 
--- a/core/host/drawfault_test.go
+++ b/core/host/drawfault_test.go
@@ -10,7 +10,7 @@
 )
 
 // leaderFaults selects the faults that may be injected at the leader.
-type leaderFaults struct{ cut, stop bool }
+type leaderFaults struct{ partition, stop bool }
 
 // injectFault injects a random fault, or none: slow links, partitions, stops and starts of entry
 // hosts, and faults of the leader.
@@ -37,7 +37,7 @@
 	if leader == "" {
 		return
 	}
-	if faults.cut {
+	if faults.partition {
 		f.partition(leader, true)
 		f.run(2 * time.Second)
 		f.partition(leader, false)
--- a/core/host/inforce_test.go
+++ b/core/host/inforce_test.go
@@ -185,7 +185,7 @@
 			pending := map[uint64]string{}
 			number := uint64(1)
 			for step := range 160 {
-				f.injectFault(r, entries, slow, leaderFaults{cut: seed%2 == 0})
+				f.injectFault(r, entries, slow, leaderFaults{partition: seed%2 == 0})
 				if step%20 == 0 {
 					number++
 					at := replicaName(r.IntN(3))
--- a/core/host/listedcrashes_test.go
+++ b/core/host/listedcrashes_test.go
@@ -17,17 +17,18 @@
 	"github.com/yardhall/yardhall/core/outcome"
 )
 
-// These tests guard against a request that crashes the targets of a listed fleet: three per
-// arrival, as it is retried, and again at any host.
+// These tests guard against a request that crashes the targets of a listed fleet: each arrival, at
+// any host, crashes three as it is retried.
 
 // listedTarget simulates a target that crashes under bad requests.
 type listedTarget struct {
 	config.Target
-	boot      uint64
-	running   []listedAttempt
-	restartAt time.Time
+	incarnation uint64
+	running     []listedAttempt
+	restartAt   time.Time
 }
 
+// listedAttempt is an attempt in progress at a listedTarget.
 type listedAttempt struct {
 	dispatch host.Dispatch
 	at       ident.Host
@@ -68,7 +69,7 @@
 	)
 	for i := range targets {
 		target := config.Target{ID: ident.Target(fmt.Sprint("t", i)), Service: "floor", Zone: "z0", Address: fmt.Sprint("127.0.1.", i, ":1"), Slots: 8}
-		f.targets[target.ID] = &listedTarget{Target: target, boot: 1}
+		f.targets[target.ID] = &listedTarget{Target: target, incarnation: 1}
 		changes = append(changes, config.PutTarget{Target: target})
 	}
 	for i := range hosts {
@@ -106,7 +107,7 @@
 		case host.Probe:
 			one := f.targets[e.Target.ID]
 			down := !one.restartAt.IsZero()
-			f.reduce(id, host.LoadReported{Target: e.Target.ID, Failed: down, Refused: down, Incarnation: one.boot, Seq: uint64(f.now.UnixMilli())})
+			f.reduce(id, host.LoadReported{Target: e.Target.ID, Failed: down, Refused: down, Incarnation: one.incarnation, Seq: uint64(f.now.UnixMilli())})
 		}
 	}
 }
@@ -156,7 +157,7 @@
 		if f.now.Before(one.restartAt) {
 			return
 		}
-		one.restartAt, one.boot = time.Time{}, one.boot+1
+		one.restartAt, one.incarnation = time.Time{}, one.incarnation+1
 	}
 	due := slices.IndexFunc(one.running, func(a listedAttempt) bool { return a.bad && !f.now.Before(a.due) })
 	running := one.running
--- a/core/host/policy_test.go
+++ b/core/host/policy_test.go
@@ -68,6 +68,8 @@
 	return e.laggedLoad(w.reportLag) + w.routerCounts[router][e.target.ID]/2
 }
 
+// rendezvous returns the first engine in the rendezvous order of a chat that fits; if none fits, the
+// first one that is up.
 func (w *simulation) rendezvous(j *job, fits func(*engine) bool) *engine {
 	var best, any *engine
 	var top, topAny uint64
@@ -89,6 +91,10 @@
 	return best
 }
 
+// results are the figures of a simulation: the fraction of prompt tokens found in caches, the 99.9th
+// percentile and the maximum of the highest load over the mean, bytes of messages per second and
+// host, the 99th percentile of the queue wait of urgent requests in ms, and the requests that ended
+// as not run or with unknown outcome.
 type results struct {
 	reuse, skew, worst, bytes, urgent float64
 	notRun, unknown                   int
--- a/core/host/world_test.go
+++ b/core/host/world_test.go
@@ -49,15 +49,15 @@
 
 // job is a turn of a chat.
 type job struct {
-	id        ident.Request
-	chat      hash.Key
-	tokens    float64
-	firstTurn bool
-	rank      int
-	router    int
-	arrivedAt time.Time
-	engine    *engine
-	boot      uint64
+	id          ident.Request
+	chat        hash.Key
+	tokens      float64
+	firstTurn   bool
+	rank        int
+	router      int
+	arrivedAt   time.Time
+	engine      *engine
+	incarnation uint64
 }
 
 // engine simulates an engine with a bounded LRU prefix cache, measured in tokens.
@@ -70,7 +70,7 @@
 	cacheSize   float64
 	cacheLimit  float64
 	up          bool
-	boot        uint64
+	incarnation uint64
 	seq         uint64
 }
 
@@ -192,7 +192,7 @@
 			Address: "127.0.0.1:1", Slots: p.slots, Models: []ident.Model{model},
 		}
 		cfg = mustApply(cfg, config.PutTarget{Target: t})
-		e := &engine{target: t, up: true, boot: 1, cacheLimit: 400_000}
+		e := &engine{target: t, up: true, incarnation: 1, cacheLimit: 400_000}
 		e.clear()
 		w.engines[t.ID] = e
 		w.order = append(w.order, e)
@@ -206,7 +206,7 @@
 	for i := range p.hosts {
 		w.routerCounts = append(w.routerCounts, map[ident.Target]int{})
 		w.down = append(w.down, false)
-		w.hosts = append(w.hosts, w.boot(i, p))
+		w.hosts = append(w.hosts, w.startHost(i, p))
 		w.schedule(time.Duration(i)*tickInterval/time.Duration(p.hosts), func() { w.tick(i) })
 	}
 	return w
@@ -215,7 +215,7 @@
 func zone(i int) ident.Zone     { return ident.Zone(fmt.Sprintf("z%d", i)) }
 func hostName(i int) ident.Host { return ident.Host(fmt.Sprintf("h%02d", i)) }
 
-func (w *simulation) boot(i int, p profile) host.State {
+func (w *simulation) startHost(i int, p profile) host.State {
 	s := host.New(host.Settings{
 		ID: hostName(i), Zone: zone(i % p.zones), Serves: true, Incarnation: uint64(w.now.UnixNano()),
 		Replicas: []config.Host{{ID: "state", Address: "127.0.0.1:1"}},
@@ -274,7 +274,7 @@
 	case host.Probe:
 		en := w.engines[e.Target.ID]
 		en.seq++
-		r := host.LoadReported{Target: e.Target.ID, Failed: !en.up, Incarnation: en.boot, Seq: en.seq, InFlight: en.laggedLoad(w.reportLag)}
+		r := host.LoadReported{Target: e.Target.ID, Failed: !en.up, Incarnation: en.incarnation, Seq: en.seq, InFlight: en.laggedLoad(w.reportLag)}
 		w.schedule(networkDelay, func() { w.reduce(i, r) })
 	}
 }
@@ -339,11 +339,11 @@
 		w.promptTokens += j.tokens
 	}
 	e.inFlight++
-	boot := e.boot
-	j.engine, j.boot = e, boot
+	incarnation := e.incarnation
+	j.engine, j.incarnation = e, incarnation
 	took := time.Duration((j.tokens-hit)/8*1000)*time.Microsecond + time.Duration(float64(meanDecodeTime)*(0.4+1.2*w.rng.Float64()))
 	w.schedule(took, func() {
-		if e.boot != boot || j.engine == nil {
+		if e.incarnation != incarnation || j.engine == nil {
 			done(false)
 			return
 		}
@@ -359,7 +359,7 @@
 // replaceEngine removes an engine and starts an empty one in its place after a while.
 func (w *simulation) replaceEngine(e *engine, away time.Duration) {
 	e.up, e.inFlight = false, 0
-	e.boot++
+	e.incarnation++
 	e.clear()
 	w.schedule(away, func() { e.up = true })
 }
@@ -367,7 +367,7 @@
 // disconnectEngine makes an engine unreachable for a while; it keeps its cache.
 func (w *simulation) disconnectEngine(e *engine, away time.Duration) {
 	e.up, e.inFlight = false, 0
-	e.boot++
+	e.incarnation++
 	w.schedule(away, func() { e.up = true })
 }
 
@@ -479,7 +479,7 @@
 	w.schedule(2*time.Minute, func() { w.stopRouter(len(w.down) - 1) })
 	w.schedule(3*time.Minute, func() {
 		i := len(w.down) - 1
-		w.hosts[i] = w.boot(i, p)
+		w.hosts[i] = w.startHost(i, p)
 		w.down[i] = false
 	})
 }
@@ -488,7 +488,7 @@
 func (w *simulation) stopRouter(i int) {
 	w.down[i] = true
 	for id, j := range w.calls {
-		if j.router == i && j.engine != nil && j.engine.boot == j.boot {
+		if j.router == i && j.engine != nil && j.engine.incarnation == j.incarnation {
 			j.engine.inFlight--
 			j.engine = nil
 		}
--- a/core/host/zones_test.go
+++ b/core/host/zones_test.go
@@ -157,7 +157,7 @@
 			slow := map[ident.Host]time.Duration{}
 			f.delay = func(p seededPacket) time.Duration { return slow[p.from] + slow[p.to] }
 			for step := range 240 {
-				f.injectFault(r, entries, slow, leaderFaults{cut: seed%3 == 0, stop: seed%3 == 1})
+				f.injectFault(r, entries, slow, leaderFaults{partition: seed%3 == 0, stop: seed%3 == 1})
 				if step%12 == 0 {
 					seq++
 					f.registerWorkerIn(replicaName(r.IntN(3)), "w", "hall-a", seq)
