--- a/core/requests/timeouts.go
+++ b/core/requests/timeouts.go
@@ -19,7 +19,7 @@
 	headerObjectiveFactor = 2
 	eventGapFactor        = 4
 	minHeaderTimeout      = 250 * time.Millisecond
-	minEventGapTimeout       = time.Second
+	minEventGapTimeout    = time.Second
 )
 
 // responseTimeouts returns how long the next attempt may wait for the response header and between
