--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -26,7 +26,7 @@
 	// eventQueue bounds the events that wait for the core. Chosen, not measured.
 	eventQueue = 8192
 	// callEvents bounds the effects of one call that wait for its handler; the
-	// core emits at most maxTries dispatches and one end.
+	// core emits at most maxAttempts dispatches and one end.
 	callEvents = 8
 )
 
