--- a/core/health/health.go
+++ b/core/health/health.go
@@ -102,7 +102,7 @@
 	return t.Listing == Leaving || t.ReportsLeaving(now) || now.Before(t.LeavingReportedUntil)
 }
 
-// ReportsLeaving reports whether the target itself told this host that it is leaving.
+// ReportsLeaving reports whether the target itself has reported to this host that it is leaving.
 func (t Target) ReportsLeaving(now time.Time) bool { return now.Before(t.LeavingUntil) }
 
 // RemainingBackoff returns the time left of the backoff that the target requested of this host,
